--- a/jujubestand/membership/members.cpp
+++ b/jujubestand/membership/members.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// The list lags both ways: what a member says of its own life outweighs a
-// "live" of the list, and a "leaving" of either counts.
+// The list may be behind or ahead of the instance, so a member is leaving as
+// soon as either source reports it, even if the list still says "live".
 member_state state_of(member const& one)
 {
     bool const is_listed_leaving =
@@ -151,7 +151,8 @@
     member const* found = nullptr;
     for (auto const& [id, one] : state.known)
     {
-        // Of two lives on two instances, the one that takes work.
+        // If two instances serve the upstream, prefer the one that receives
+        // new work.
         bool const is_better = found == nullptr || one.state < found->state;
         if (one.row.upstream == upstream && is_better)
             found = &one;
--- a/jujubestand/membership/members.hpp
+++ b/jujubestand/membership/members.hpp
@@ -16,16 +16,15 @@
 namespace jujubestand::membership
 {
 
-/// \brief What an instance may be used for.
+/// \brief Whether an instance may receive new work.
 enum class member_state : std::uint8_t
 {
-    live,    ///< takes new work
-    suspect, ///< does not answer; takes none until it does
-    leaving, ///< takes none any more in this life
-    gone,    ///< neither listed nor heard of
+    live,    ///< receives new work
+    suspect, ///< does not answer; receives no new work until it answers again
+    leaving, ///< receives no new work for the rest of this incarnation
+    gone,    ///< neither listed nor answering
 };
 
-/// \brief Names of the states.
 inline constexpr std::array<enum_name<member_state>, 4> member_state_names{{
     {member_state::live, "live"},
     {member_state::suspect, "suspect"},
@@ -33,29 +32,29 @@
     {member_state::gone, "gone"},
 }};
 
-/// \brief How much evidence turns a member's state.
+/// \brief Thresholds for changes of a member's state.
 struct member_options
 {
-    /// Failures in a row that make a member suspect.
+    /// Consecutive failures after which a member is suspect.
     std::uint32_t failures_limit = 2;
-    /// Answers in a row that make a suspect member live again.
+    /// Consecutive answers after which a suspect member is live again.
     std::uint32_t answers_needed = 2;
-    /// An unlisted member that is silent for this long is gone.
+    /// An unlisted member is gone after this long without an answer.
     std::chrono::milliseconds gone_after{10'000};
-    /// A member that was silent for this long and answers in the same life
+    /// A member that answers in the same incarnation after a longer silence
     /// may have been paused.
     std::chrono::milliseconds pause_limit{5'000};
 };
 
-/// \brief One instance, by what the list and its own answers say.
+/// \brief State of one instance, from the list and from its own answers.
 struct member
 {
     platform::listed_instance row;
     member_state state = member_state::live;
     bool is_listed = true;
-    /// The highest life that was heard of.
+    /// The highest incarnation that has answered.
     incarnation_id incarnation;
-    /// It said in this life that it is leaving.
+    /// An answer of this incarnation reported that the instance is leaving.
     bool said_leaving = false;
     bool is_suspect = false;
     std::uint32_t failures = 0;
@@ -63,52 +62,56 @@
     mono_time heard{};
 };
 
-/// \brief All members that one process knows of.
+/// \brief Members as seen by one process.
 struct members
 {
     member_options options;
     std::map<instance_id, member> known;
 };
 
-/// \brief What an answer of a member says of it.
+/// \brief What a member reports about itself in an answer.
 struct evidence
 {
     incarnation_id incarnation;
     bool is_leaving = false;
 };
 
-/// \brief One member's change.
+/// \brief A change of one member's state, or a restart or pause of it.
 struct member_change
 {
     instance_id instance;
     member_state from = member_state::live;
     member_state to = member_state::live;
-    /// It has a new life: what the last one held is lost.
+    /// It answered with a new incarnation: the state of the previous one is
+    /// lost.
     bool is_restarted = false;
-    /// It was silent for long: what it held then may have lapsed.
+    /// It was silent for longer than `pause_limit`: state that it held may
+    /// have expired.
     bool may_have_paused = false;
 };
 
-/// \brief Takes in a list; a member that it lacks takes no new work.
+/// \brief Applies a new list; members that it lacks receive no new work.
 std::vector<member_change>
 on_list(members& state, platform::instance_list const& list, mono_time now);
 
-/// \brief A member answered; an answer of an earlier life is ignored.
+/// \brief Records an answer of a member; answers of earlier incarnations and
+/// of unknown members are ignored.
 std::vector<member_change> on_answer(members& state, instance_id const& from,
                                      evidence const& seen, mono_time now);
 
-/// \brief A member did not answer in time, or its link broke.
+/// \brief Records that a member did not answer in time or that its link
+/// broke.
 std::vector<member_change> on_failure(members& state, instance_id const& from,
                                       mono_time now);
 
-/// \brief Forgets members that are gone.
+/// \brief Removes unlisted members that have been silent for `gone_after`.
 std::vector<member_change> on_tick(members& state, mono_time now);
 
-/// \brief The member that serves an upstream; null if none does.
+/// \brief The member that serves an upstream, or null.
 [[nodiscard]] member const* find_upstream(members const& state,
                                           upstream_id const& upstream);
 
-/// \brief A change as an event.
+/// \brief Converts a change to an event.
 [[nodiscard]] event_note to_note(member_change const& change);
 
 } // namespace jujubestand::membership
--- a/jujubestand/membership/test/members_test.cpp
+++ b/jujubestand/membership/test/members_test.cpp
@@ -52,7 +52,7 @@
 
 constexpr std::uint32_t seen_kinds = 8;
 
-// From the whole history, without any counter: what the rules say.
+// Reference model: derives the state from the whole history, without counters.
 member_state naive_state(std::vector<seen_kind> const& history)
 {
     std::size_t life = 0;
@@ -128,7 +128,7 @@
     on_answer(state, one, {incarnation_id(life), false}, at_ms(0));
     for (auto const number : numbers)
     {
-        // Mostly answers and failures; the rest now and then.
+        // Two thirds are answers and failures, the rest any kind.
         auto const kind = number % 3 == 0
                               ? static_cast<seen_kind>(number / 3 % seen_kinds)
                           : number % 2 == 0 ? seen_kind::answer
