--- a/jujubestand/orders/lease.cpp
+++ b/jujubestand/orders/lease.cpp
@@ -19,7 +19,7 @@
     if (made.upstream != state.upstream)
         return;
     bool const is_own = made.nonce == state.nonce;
-    // A doubled record of ours keeps its first offset.
+    // An append may be repeated; the first offset of the own record counts.
     if (is_own && state.fence == log_offset{})
     {
         state.fence = offset;
@@ -46,7 +46,8 @@
         if (auto const* made = std::get_if<start_record>(&*content))
             take_start(state, *made, read.offset, now);
     }
-    // Lost records may hold a successor's start.
+    // Records removed from the log before they were read may include a
+    // successor's start.
     if (state.fence != log_offset{} && batch.first_kept > state.next)
         state.is_superseded = true;
     if (state.fence != log_offset{} && state.next >= batch.next)
@@ -54,8 +55,9 @@
             std::max(state.confirmed.value_or(read_began), read_began);
 }
 
-// An old holder's last confirming read began before our start stood on the
-// log, so its lease ends at the latest one lease after we read that back.
+// The previous holder's last confirming read began before this sidecar's start
+// was on the log, so its lease ends at most one lease duration after that
+// start was read back.
 bool may_order(lease const& state, bool has_fencing, mono_time now, reason& why)
 {
     if (state.fence == log_offset{})
--- a/jujubestand/orders/lease.hpp
+++ b/jujubestand/orders/lease.hpp
@@ -12,45 +12,49 @@
 namespace jujubestand::orders
 {
 
-/// \brief How long a right to give orders lasts.
+/// \brief Durations of a lease and of the orders sent under it.
 struct lease_options
 {
-    /// From the beginning of the read that confirmed it.
+    /// Validity, counted from the start of the read that confirmed the lease.
     std::chrono::milliseconds lease{3'000};
-    /// An order that has no effect by then never has one.
+    /// An order that has not taken effect within this time never does.
     std::chrono::milliseconds order_limit{5'000};
-    /// Clocks of two processes may drift apart by this within both.
+    /// Maximum drift between the clocks of two processes over the sum of both
+    /// durations.
     std::chrono::milliseconds drift{100};
 };
 
-/// \brief One sidecar's right to give orders to its engine.
+/// \brief One sidecar's lease, which allows it to send orders to its engine.
 struct lease
 {
     lease_options options;
     upstream_id upstream;
-    /// Nonce of its own start record.
+    /// Nonce of this sidecar's start record.
     request_id nonce;
-    /// Offset of its start record; 0 until that was read back.
+    /// Fencing number: offset of the start record, 0 until it was read back.
     log_offset fence;
-    /// When it read its own record back.
+    /// When the start record was read back.
     mono_time started{};
-    /// A later start of the same upstream was read: this life is over.
+    /// Another start of the same upstream was read after this one, or may have
+    /// been lost from the log. The lease never becomes valid again.
     bool is_superseded = false;
-    /// Beginning of the newest read that reached the log's end without one.
+    /// Start of the newest read that reached the end of the log without such a
+    /// record.
     std::optional<mono_time> confirmed;
-    /// Reads up to here are in it.
+    /// Offset of the first record that was not yet applied.
     log_offset next{1};
 };
 
-/// \brief Takes a batch of the `orders` stream in.
-/// \param read_began when the read that returned it was sent
+/// \brief Applies a batch of the `orders` stream.
+/// \param read_began when the read that returned the batch was sent
 void on_batch(lease& state, platform::log_batch const& batch,
               mono_time read_began, mono_time now);
 
 /// \brief Whether an order may be sent now.
-/// \param has_fencing the engine refuses old fencing numbers
-/// \returns false, with `why` set, otherwise; for an engine without fencing
-/// a new life also waits out its predecessor's lease and last order
+/// \param has_fencing whether the engine refuses old fencing numbers
+/// \returns false, with `why` set, if not. For an engine without fencing, a
+/// new sidecar also waits until its predecessor's lease has expired and the
+/// last order sent under it can no longer take effect.
 [[nodiscard]] bool may_order(lease const& state, bool has_fencing,
                              mono_time now, reason& why);
 
--- a/jujubestand/orders/records.hpp
+++ b/jujubestand/orders/records.hpp
@@ -12,11 +12,11 @@
 namespace jujubestand::orders
 {
 
-/// \brief Name of the stream that carries starts and weight-load slots.
+/// \brief Name of the log stream of sidecar starts and weight-load slots.
 inline constexpr char const* stream_name = "orders";
 
-/// \brief A sidecar began a life beside an upstream. The record's offset is
-/// the fencing number of its orders.
+/// \brief A sidecar of an upstream has started. The offset of the record is
+/// the fencing number of the sidecar's orders.
 struct start_record
 {
     request_id nonce;
@@ -26,7 +26,7 @@
     MSGPACK_DEFINE_ARRAY(nonce, upstream, instance)
 };
 
-/// \brief A sidecar asks for a slot to load weights in.
+/// \brief A sidecar requests a slot for a weight load.
 struct slot_claim
 {
     request_id nonce;
@@ -36,7 +36,7 @@
     MSGPACK_DEFINE_ARRAY(nonce, pool, upstream)
 };
 
-/// \brief A load has ended; its slot is free.
+/// \brief A weight load has ended and its slot is free.
 struct slot_release
 {
     request_id nonce;
@@ -47,10 +47,11 @@
 /// \brief One record of the stream.
 using record = std::variant<start_record, slot_claim, slot_release>;
 
-/// \brief A record as the log carries it.
+/// \brief Serializes a record for the log.
 [[nodiscard]] std::string pack(record const& made);
 
-/// \brief Reads what `pack` wrote; nothing, with `why` set, for other bytes.
+/// \brief Parses the output of `pack`.
+/// \returns nothing, with `why` set, for other bytes
 [[nodiscard]] std::optional<record> unpack_record(std::string const& bytes,
                                                   reason& why);
 
--- a/jujubestand/orders/rollout.hpp
+++ b/jujubestand/orders/rollout.hpp
@@ -13,7 +13,7 @@
 namespace jujubestand::orders
 {
 
-/// \brief What an engine can be told to do.
+/// \brief Kinds of orders to an engine.
 enum class order_kind : std::uint8_t
 {
     load_weights,
@@ -21,14 +21,14 @@
     set_role,
 };
 
-/// \brief Names of the kinds, as engines know them.
+/// \brief Names of the kinds in the engine interface.
 inline constexpr std::array<enum_name<order_kind>, 3> order_kind_names{{
     {order_kind::load_weights, "load_weights"},
     {order_kind::load_adapter, "load_adapter"},
     {order_kind::set_role, "set_role"},
 }};
 
-/// \brief One order.
+/// \brief An order to an engine; members that its kind does not use are empty.
 struct order
 {
     order_kind kind = order_kind::load_weights;
@@ -37,7 +37,7 @@
     std::string role;
 };
 
-/// \brief What an engine last reported of itself.
+/// \brief The newest state that an engine reported.
 struct engine_state
 {
     std::string weights_version;
@@ -45,18 +45,19 @@
     std::string role;
 };
 
-/// \brief The next order that brings an engine to what its pool wants: the
-/// weights first, since a load empties the rest, then adapters, then the role.
-/// \returns nothing if it is there
+/// \brief The next order that brings an engine to the configuration of its
+/// pool: weights first, since loading them clears the rest, then adapters,
+/// then the role.
+/// \returns nothing if the engine matches the configuration
 [[nodiscard]] std::optional<order> next_order(config::pool const& wanted,
                                               upstream_id const& upstream,
                                               engine_state const& engine);
 
-/// \brief Whether an order needs a weight-load slot of the pool.
+/// \brief Whether an order requires a weight-load slot of the pool.
 [[nodiscard]] bool needs_slot(order const& wanted) noexcept;
 
-/// \brief Whether the engine may serve the pool: never with other weights
-/// than the pool's.
+/// \brief Whether the engine may serve the pool: its weights must be those of
+/// the pool, if the pool names any.
 [[nodiscard]] bool may_serve(config::pool const& wanted,
                              engine_state const& engine);
 
--- a/jujubestand/orders/slots.cpp
+++ b/jujubestand/orders/slots.cpp
@@ -7,17 +7,18 @@
 namespace
 {
 
-// Decided claims are kept long enough for their claimants to look them up.
+// Keeps outcomes long enough for the claimants to look them up.
 constexpr std::size_t decided_limit = 4'096;
 
-// A holder may be paused after its load began, so a slot that is not
-// released lasts until the load has surely ended.
+// The holder may be paused after it started its load, so a slot that is not
+// released is kept until the load must have ended.
 std::chrono::milliseconds lifetime(slot_options const& options)
 {
     return options.start_limit + options.load_limit + options.drift;
 }
 
-// Time is the log's own, so that all readers free a slot at one record.
+// Uses the time stamps of the log, so that all readers free a slot at the same
+// record.
 void expire(slots& state, wall_time at)
 {
     auto const limit = lifetime(state.options);
@@ -31,7 +32,7 @@
 void grant(slots& state, slot_claim const& made,
            platform::log_record const& read)
 {
-    // A doubled record of one claim is one claim.
+    // A claim may be appended more than once; only its first record counts.
     if (made.pool != state.pool || state.decided.contains(made.nonce))
         return;
     bool const is_granted = state.held.size() < state.options.limit;
@@ -78,7 +79,8 @@
     return found->second;
 }
 
-// Counted from before the append: the log took the claim in no earlier.
+// The time runs from before the append, so the log cannot have stored the claim
+// earlier.
 bool may_load(slots const& state, request_id const& nonce, mono_time sent,
               mono_time now)
 {
--- a/jujubestand/orders/test/orders_test.cpp
+++ b/jujubestand/orders/test/orders_test.cpp
@@ -56,9 +56,9 @@
     std::int64_t at_ms = 0;
 };
 
-// Lives of a sidecar beside one engine: each starts, may be paused for any
-// time with a read under way, and orders whenever it believes it may. An
-// order acts at any moment up to its limit.
+// Simulates successive incarnations of the sidecar of one engine. Each may be
+// paused for any time during a read, and sends orders whenever its lease allows
+// it. An order takes effect at any time up to its limit.
 struct lease_world
 {
     struct life
@@ -88,8 +88,8 @@
         this->lives.push_back(next);
     }
 
-    // One read at a time, over two turns: at worst it returns the log as it
-    // was when the read began.
+    // One read at a time, in two steps; it returns the log as it was when the
+    // read began, which is the worst case.
     void read(life& one)
     {
         if (!one.read_began_ms)
@@ -216,8 +216,8 @@
     EXPECT_TRUE(may_order(*held, false, at_ms(8'100), why));
 }
 
-// Sidecars claim, crash while loading, pause before loading, release or not;
-// loads that run at once never pass the limit.
+// Sidecars claim slots, pause before the load, crash during it and may not
+// release the slot; the number of concurrent loads must stay within the limit.
 RC_GTEST_PROP(slots, loads_stay_within_the_limit, ())
 {
     slots reader;
@@ -252,7 +252,7 @@
         }
         else if (number % 4 == 1 && claims[index].end_ms != 0)
         {
-            // Only the end of a load frees its slot.
+            // A slot is released only after its load has ended.
             if (!claims[index].is_loading)
                 log.append(slot_release{request_id{1, index + 1}}, now_ms);
         }
