--- a/jujubestand/quarantine/gate.cpp
+++ b/jujubestand/quarantine/gate.cpp
@@ -31,7 +31,8 @@
     gate.running[request] = gate_request{fingerprint, false};
 }
 
-// While a suspect waits nobody else starts, or it would wait for ever.
+// While a suspect waits, no other request starts; otherwise the suspect would
+// starve.
 passage pass_suspect(engine_gate& gate, request_id const& request,
                      digest const& fingerprint)
 {
@@ -51,7 +52,8 @@
             now.time_since_epoch().count()};
 }
 
-// All that was in flight is struck: which of them did it is not known.
+// Every request in flight gets a strike, since the one that caused the crash is
+// not known.
 gate_effects strike_all(engine_gate& gate, wall_time now)
 {
     notice found;
@@ -130,7 +132,8 @@
     if (is_new)
         effects = strike_all(gate, now);
     gate.incarnation = incarnation;
-    // The same life answers: the connection broke, the engine did not.
+    // If the incarnation is the same, the connection broke but the engine did
+    // not crash.
     std::erase_if(gate.running,
                   [](auto const& row)
                   {
@@ -144,7 +147,7 @@
 gate_effects lose_engine(engine_gate& gate, wall_time now)
 {
     gate_effects effects = strike_all(gate, now);
-    // What starts from now on belongs to the engine's next life.
+    // Requests that start from now on belong to the next incarnation.
     gate.incarnation = incarnation_id{};
     return effects;
 }
--- a/jujubestand/quarantine/gate.hpp
+++ b/jujubestand/quarantine/gate.hpp
@@ -13,34 +13,36 @@
 namespace jujubestand::quarantine
 {
 
-/// \brief The rules of the gate; all stand in production.
+/// \brief Rules of the gate; all are enabled in production.
 struct gate_rules
 {
-    /// A suspect shares the engine with nobody.
+    /// A suspect (a request with strikes, not quarantined) runs alone on the
+    /// engine.
     bool suspects_run_alone = true;
-    /// A quarantined request is refused.
+    /// Quarantined requests are refused.
     bool quarantined_are_refused = true;
-    /// A suspect that ends well is cleared.
+    /// The strikes of a request that finishes are cleared.
     bool finished_are_cleared = true;
 };
 
-/// \brief How a request left the engine.
+/// \brief How a request ended at the engine.
 enum class departure : std::uint8_t
 {
-    finished, ///< with a whole answer
-    cut,      ///< with a broken connection
-    unbegun,  ///< the engine never got it
+    finished, ///< complete answer
+    cut,      ///< connection broken
+    unbegun,  ///< not received by the engine
     stopped,  ///< cancelled or timed out
 };
 
-/// \brief A request at the engine, or one whose connection just broke.
+/// \brief A request in flight at the engine, or one whose connection broke and
+/// for which it is not yet known whether the engine crashed.
 struct gate_request
 {
     digest fingerprint;
     bool is_cut = false;
 };
 
-/// \brief Watches what is in flight at one engine.
+/// \brief Admits requests to one engine and tracks those in flight.
 struct engine_gate
 {
     upstream_id upstream;
@@ -48,46 +50,47 @@
     strike_book book;
     gate_rules rules;
     std::map<request_id, gate_request> running;
-    /// Suspects that wait for the engine to be empty, oldest first.
+    /// Suspects that wait until the engine is idle, oldest first.
     std::deque<request_id> waiting;
-    /// The suspect that has the engine for itself.
+    /// The suspect that runs alone on the engine.
     std::optional<request_id> alone;
 };
 
-/// \brief What to do with a request that wants the engine.
+/// \brief Decision about a request to the engine.
 enum class passage : std::uint8_t
 {
     start,
-    wait,   ///< ask again after each departure
-    refuse, ///< it is quarantined; it has not run here
+    wait,   ///< try again after each end of a request
+    refuse, ///< quarantined; the request has not run on this engine
 };
 
-/// \brief What a departure or a crash leads to.
+/// \brief Result of the end of a request or of a crash.
 struct gate_effects
 {
-    /// For the log, and for answers.
+    /// New strikes and clearances, for the log and for answers.
     notice made;
 };
 
-/// \brief Lets a request to the engine, holds it back or refuses it.
+/// \brief Decides whether a request may start now, must wait or is refused.
 [[nodiscard]] passage pass(engine_gate& gate, request_id const& request,
                            digest const& fingerprint, wall_time now);
 
-/// \brief A request that waited will not ask again.
+/// \brief Removes a request from the waiting suspects.
 void give_up(engine_gate& gate, request_id const& request);
 
-/// \brief A request left the engine.
+/// \brief Records the end of a request.
 [[nodiscard]] gate_effects depart(engine_gate& gate, request_id const& request,
                                   departure how, wall_time now);
 
-/// \brief The engine answered with this incarnation.
+/// \brief Records that the engine answered with this incarnation.
 [[nodiscard]] gate_effects
 see_engine(engine_gate& gate, incarnation_id incarnation, wall_time now);
 
-/// \brief The engine refuses connections after it cut one.
+/// \brief Records that the engine refuses connections after one was broken.
 [[nodiscard]] gate_effects lose_engine(engine_gate& gate, wall_time now);
 
-/// \brief Whether a broken connection still waits for the engine's sign.
+/// \brief Whether there is a broken connection for which it is not yet known
+/// whether the engine crashed.
 [[nodiscard]] bool has_cut(engine_gate const& gate) noexcept;
 
 } // namespace jujubestand::quarantine
--- a/jujubestand/quarantine/strike.cpp
+++ b/jujubestand/quarantine/strike.cpp
@@ -62,8 +62,8 @@
     return true;
 }
 
-// Strikes are rare; a book over its limit is under attack by many different
-// crashing requests, and the newest are the ones to keep.
+// Strikes are rare, so a book over its limit means an attack with many
+// different crashing requests; the most recently changed entries are kept.
 void bound_entries(strike_book& book)
 {
     while (book.entries.size() > book.options.fingerprints_limit)
@@ -161,7 +161,7 @@
     auto const at = book.entries.find(fingerprint);
     if (at == book.entries.end())
         return made;
-    // The striking sidecar's clock may be ahead of this one.
+    // The clock of the sidecar that recorded the strike may be ahead.
     for (auto const& one : at->second.strikes)
         made.until_ms = std::max(made.until_ms, one.at_ms);
     return made;
--- a/jujubestand/quarantine/strike.hpp
+++ b/jujubestand/quarantine/strike.hpp
@@ -19,15 +19,17 @@
 namespace jujubestand::quarantine
 {
 
-/// \brief Names a request by what it asks for, whoever sends it again.
+/// \brief Identifies a request by team, route and body, so that a repeated
+/// send has the same fingerprint.
 [[nodiscard]] digest fingerprint_of(team_id const& team, route_id const& route,
                                     std::string_view body_digest);
 
-/// \brief "This request was in flight when that engine crashed."
+/// \brief Records that a request was in flight when an engine crashed.
 struct strike
 {
     digest fingerprint;
-    /// The engine and its life that ended: one crash is one strike.
+    /// The engine and the incarnation that crashed; one crash counts as one
+    /// strike.
     upstream_id upstream;
     incarnation_id incarnation;
     std::int64_t at_ms = 0;
@@ -35,7 +37,7 @@
     MSGPACK_DEFINE_ARRAY(fingerprint, upstream, incarnation, at_ms)
 };
 
-/// \brief "Strikes of this request up to then do not count."
+/// \brief Records that strikes of a request up to a time do not count.
 struct clearance
 {
     digest fingerprint;
@@ -44,7 +46,7 @@
     MSGPACK_DEFINE_ARRAY(fingerprint, until_ms)
 };
 
-/// \brief Strikes and clearances, as a log record and on answers.
+/// \brief Strikes and clearances, in log records and attached to answers.
 struct notice
 {
     static constexpr std::uint8_t current_version = 1;
@@ -61,75 +63,77 @@
     MSGPACK_DEFINE_ARRAY(version, strikes, clearances)
 };
 
-/// \brief Bytes of a notice; none for an empty one.
+/// \brief Serializes a notice; the result is empty for an empty notice.
 [[nodiscard]] std::string pack(notice const& message);
 
-/// \brief Reads what `pack` wrote.
+/// \brief Parses the output of `pack`.
+/// \returns nothing, with `why` set, for other bytes
 [[nodiscard]] std::optional<notice> unpack(std::string_view bytes, reason& why);
 
-/// \brief Limits of a book of strikes.
+/// \brief Limits of a strike book.
 struct strike_options
 {
-    /// So many crashes quarantine a request.
+    /// Number of crashes after which a request is quarantined.
     std::size_t strikes_limit = 2;
     std::chrono::milliseconds lifetime{std::chrono::hours{1}};
-    /// The most fingerprints a book holds; the oldest are dropped first.
+    /// Maximum number of fingerprints; the least recently changed are dropped
+    /// first.
     std::size_t fingerprints_limit = 4'096;
-    /// Strikes and clearances that ride on one answer.
+    /// Limit of the strikes and clearances that are attached to one answer.
     std::size_t notice_limit = 16;
 };
 
-/// \brief What is known of one request's strikes.
+/// \brief The strikes of one request.
 struct strike_entry
 {
     std::vector<strike> strikes;
-    /// Strikes up to then were cleared.
+    /// Strikes up to this time were cleared.
     std::int64_t cleared_ms = 0;
     std::int64_t changed_ms = 0;
 };
 
-/// \brief Strikes known to one process. Whatever the order in which notices
-/// arrive, and however often, books that saw the same notices are equal.
+/// \brief The strikes recorded by one process. Merging notices is commutative
+/// and idempotent: books that received the same notices are equal.
 struct strike_book
 {
     strike_options options;
     std::unordered_map<digest, strike_entry> entries;
 };
 
-/// \brief What a request may do.
+/// \brief How a request is treated because of its strikes.
 enum class judgement : std::uint8_t
 {
-    free,    ///< nothing is known against it
-    alone,   ///< it was in flight at one crash
-    refused, ///< it is quarantined
+    free,    ///< no strikes
+    alone,   ///< below the limit of strikes; must run alone on an engine
+    refused, ///< quarantined
 };
 
-/// \brief Names of the judgements.
 inline constexpr std::array<enum_name<judgement>, 3> judgement_names{{
     {judgement::free, "free"},
     {judgement::alone, "alone"},
     {judgement::refused, "refused"},
 }};
 
-/// \brief Takes a notice in. \returns the parts that were new
+/// \brief Merges a notice into the book.
+/// \returns the strikes and clearances that were new
 notice merge(strike_book& book, notice const& message, wall_time now);
 
-/// \brief What a request may do now.
+/// \brief How a request is to be treated now.
 [[nodiscard]] judgement judge(strike_book const& book,
                               digest const& fingerprint, wall_time now);
 
-/// \brief The clearance of a request that ended well, or that an operator
-/// clears: it covers all strikes known here.
+/// \brief The clearance of a request that finished successfully or that an
+/// operator clears; it covers all strikes in the book.
 [[nodiscard]] clearance clear_of(strike_book const& book,
                                  digest const& fingerprint, wall_time now);
 
-/// \brief Drops strikes past their lifetime.
+/// \brief Removes strikes and clearances past their lifetime.
 void expire(strike_book& book, wall_time now);
 
-/// \brief The newest strikes and clearances, to ride on an answer.
+/// \brief The newest strikes and clearances, to be attached to an answer.
 [[nodiscard]] notice newest(strike_book const& book, wall_time now);
 
-/// \brief Everything in force, for operators.
+/// \brief The strikes that have not expired, oldest first, for operators.
 [[nodiscard]] std::vector<strike> list(strike_book const& book, wall_time now);
 
 } // namespace jujubestand::quarantine
--- a/jujubestand/quarantine/test/gate_test.cpp
+++ b/jujubestand/quarantine/test/gate_test.cpp
@@ -12,7 +12,7 @@
 constexpr wall_time start{std::chrono::milliseconds{1'000'000'000}};
 constexpr digest poison{0, 1'000};
 
-/// A few engines behind gates; whatever runs the poison crashes.
+/// Several engines with a gate each; an engine that runs the poison crashes.
 struct fleet
 {
     std::vector<engine_gate> gates;
@@ -69,8 +69,9 @@
     }
 };
 
-// The poison is sent to engine after engine, each time beside all innocents
-// that have not finished; between two crashes everybody runs on.
+// Sends the poison to one engine after the other, each time together with all
+// other requests that have not finished. If the poison has to wait, the others
+// finish first.
 void run_poison(fleet& at, std::size_t innocents)
 {
     at.finished.assign(innocents, false);
@@ -192,8 +193,9 @@
     EXPECT_EQ(pass(gate, {1, 3}, {0, 6}, start), passage::start);
 }
 
-// However sends, ends, cuts and crashes mix: never two crashes' worth of
-// strikes on an engine that a suspect shares, and nobody waits for ever.
+// For any mix of sends, ends, broken connections and crashes: an engine that a
+// suspect shares never gets the strikes of two crashes, and no request waits
+// for ever.
 RC_GTEST_PROP(engine_gate, suspects_never_share_the_engine, ())
 {
     fleet at(2, {});
