--- a/jujubestand/orders/lease.cpp
+++ b/jujubestand/orders/lease.cpp
@@ -61,7 +61,8 @@
 bool may_order(lease const& state, bool has_fencing, mono_time now, reason& why)
 {
     if (state.fence == log_offset{})
-        return refuse(why, "its start is not read back from the log");
+        return refuse(why,
+                      "the start record is not yet read back from the log");
     if (state.is_superseded)
         return refuse(why, "a later sidecar has started");
     if (!state.confirmed || now - *state.confirmed >= state.options.lease)
@@ -69,7 +70,8 @@
     auto const& options = state.options;
     auto const wait = options.lease + options.order_limit + options.drift;
     if (!has_fencing && now - state.started < wait)
-        return refuse(why, "an earlier sidecar's order may yet act");
+        return refuse(why,
+                      "an order of an earlier sidecar may still take effect");
     return true;
 }
 
