--- a/jujubestand/quarantine/strike.cpp
+++ b/jujubestand/quarantine/strike.cpp
@@ -62,7 +62,7 @@
     return true;
 }
 
-// Strikes are rare, so a book over its limit means an attack with many
+// Strikes are rare, so a table over its limit means an attack with many
 // different crashing requests; the most recently changed entries are kept.
 void bound_entries(strike_book& book)
 {
--- a/jujubestand/quarantine/strike.hpp
+++ b/jujubestand/quarantine/strike.hpp
@@ -70,7 +70,7 @@
 /// \returns nothing, with `why` set, for other bytes
 [[nodiscard]] std::optional<notice> unpack(std::string_view bytes, reason& why);
 
-/// \brief Limits of a strike book.
+/// \brief Limits of a strike table.
 struct strike_options
 {
     /// Number of crashes after which a request is quarantined.
@@ -93,7 +93,7 @@
 };
 
 /// \brief The strikes recorded by one process. Merging notices is commutative
-/// and idempotent: books that received the same notices are equal.
+/// and idempotent: tables that received the same notices are equal.
 struct strike_book
 {
     strike_options options;
@@ -114,7 +114,7 @@
     {judgement::refused, "refused"},
 }};
 
-/// \brief Merges a notice into the book.
+/// \brief Merges a notice into the table.
 /// \returns the strikes and clearances that were new
 notice merge(strike_book& book, notice const& message, wall_time now);
 
@@ -123,7 +123,7 @@
                               digest const& fingerprint, wall_time now);
 
 /// \brief The clearance of a request that finished successfully or that an
-/// operator clears; it covers all strikes in the book.
+/// operator clears; it covers all strikes in the table.
 [[nodiscard]] clearance clear_of(strike_book const& book,
                                  digest const& fingerprint, wall_time now);
 
