--- a/jujubestand/membership/members.hpp
+++ b/jujubestand/membership/members.hpp
@@ -49,28 +49,28 @@
 /// \brief State of one instance, from the list and from its own answers.
 struct member
 {
-    platform::listed_instance row;
+    platform::listed_instance list_entry;
     member_state state = member_state::live;
     bool is_listed = true;
     /// The highest incarnation that has answered.
     incarnation_id incarnation;
     /// An answer of this incarnation reported that the instance is leaving.
-    bool said_leaving = false;
+    bool has_reported_leaving = false;
     bool is_suspect = false;
-    std::uint32_t failures = 0;
-    std::uint32_t answers = 0;
-    mono_time heard{};
+    std::uint32_t consecutive_failures = 0;
+    std::uint32_t consecutive_answers = 0;
+    mono_time last_seen{};
 };
 
 /// \brief Members as seen by one process.
-struct members
+struct member_table
 {
     member_options options;
-    std::map<instance_id, member> known;
+    std::map<instance_id, member> by_id;
 };
 
 /// \brief What a member reports about itself in an answer.
-struct evidence
+struct member_report
 {
     incarnation_id incarnation;
     bool is_leaving = false;
@@ -91,24 +91,27 @@
 };
 
 /// \brief Applies a new list; members that it lacks receive no new work.
-std::vector<member_change>
-on_list(members& state, platform::instance_list const& list, mono_time now);
+std::vector<member_change> on_list(member_table& state,
+                                   platform::instance_list const& list,
+                                   mono_time now);
 
 /// \brief Records an answer of a member; answers of earlier incarnations and
 /// of unknown members are ignored.
-std::vector<member_change> on_answer(members& state, instance_id const& from,
-                                     evidence const& seen, mono_time now);
+std::vector<member_change> on_answer(member_table& state,
+                                     instance_id const& member_id,
+                                     member_report const& report,
+                                     mono_time now);
 
 /// \brief Records that a member did not answer in time or that its link
 /// broke.
-std::vector<member_change> on_failure(members& state, instance_id const& from,
-                                      mono_time now);
+std::vector<member_change>
+on_failure(member_table& state, instance_id const& member_id, mono_time now);
 
 /// \brief Removes unlisted members that have been silent for `gone_after`.
-std::vector<member_change> on_tick(members& state, mono_time now);
+std::vector<member_change> on_tick(member_table& state, mono_time now);
 
 /// \brief The member that serves an upstream, or null.
-[[nodiscard]] member const* find_upstream(members const& state,
+[[nodiscard]] member const* find_upstream(member_table const& state,
                                           upstream_id const& upstream);
 
 /// \brief Converts a change to an event.
--- a/jujubestand/orders/lease.hpp
+++ b/jujubestand/orders/lease.hpp
@@ -16,12 +16,12 @@
 struct lease_options
 {
     /// Validity, counted from the start of the read that confirmed the lease.
-    std::chrono::milliseconds lease{3'000};
+    std::chrono::milliseconds duration{3'000};
     /// An order that has not taken effect within this time never does.
-    std::chrono::milliseconds order_limit{5'000};
+    std::chrono::milliseconds order_timeout{5'000};
     /// Maximum drift between the clocks of two processes over the sum of both
     /// durations.
-    std::chrono::milliseconds drift{100};
+    std::chrono::milliseconds max_clock_drift{100};
 };
 
 /// \brief One sidecar's lease, which allows it to send orders to its engine.
@@ -32,17 +32,17 @@
     /// Nonce of this sidecar's start record.
     request_id nonce;
     /// Fencing number: offset of the start record, 0 until it was read back.
-    log_offset fence;
+    log_offset fencing_number;
     /// When the start record was read back.
-    mono_time started{};
+    mono_time start_read_at{};
     /// Another start of the same upstream was read after this one, or may have
     /// been lost from the log. The lease never becomes valid again.
     bool is_superseded = false;
     /// Start of the newest read that reached the end of the log without such a
     /// record.
-    std::optional<mono_time> confirmed;
+    std::optional<mono_time> confirmed_at;
     /// Offset of the first record that was not yet applied.
-    log_offset next{1};
+    log_offset next_offset{1};
 };
 
 /// \brief Applies a batch of the `orders` stream.
@@ -55,8 +55,8 @@
 /// \returns false, with `why` set, if not. For an engine without fencing, a
 /// new sidecar also waits until its predecessor's lease has expired and the
 /// last order sent under it can no longer take effect.
-[[nodiscard]] bool may_order(lease const& state, bool has_fencing,
-                             mono_time now, reason& why);
+[[nodiscard]] bool may_send_order(lease const& state, bool has_fencing,
+                                  mono_time now, reason& why);
 
 } // namespace jujubestand::orders
 
--- a/jujubestand/orders/records.cpp
+++ b/jujubestand/orders/records.cpp
@@ -14,18 +14,18 @@
 
 } // namespace
 
-std::string pack(record const& made)
+std::string pack(record const& content)
 {
     msgpack::sbuffer buffer;
     msgpack::packer<msgpack::sbuffer> packer(buffer);
     packer.pack_array(2);
-    packer.pack(std::string(tags.at(made.index())));
+    packer.pack(std::string(tags.at(content.index())));
     std::visit(
         [&packer](auto const& body)
         {
             packer.pack(body);
         },
-        made);
+        content);
     return std::string(buffer.data(), buffer.size());
 }
 
--- a/jujubestand/orders/records.hpp
+++ b/jujubestand/orders/records.hpp
@@ -48,7 +48,7 @@
 using record = std::variant<start_record, slot_claim, slot_release>;
 
 /// \brief Serializes a record for the log.
-[[nodiscard]] std::string pack(record const& made);
+[[nodiscard]] std::string pack(record const& content);
 
 /// \brief Parses the output of `pack`.
 /// \returns nothing, with `why` set, for other bytes
--- a/jujubestand/orders/rollout.hpp
+++ b/jujubestand/orders/rollout.hpp
@@ -49,16 +49,16 @@
 /// pool: weights first, since loading them clears the rest, then adapters,
 /// then the role.
 /// \returns nothing if the engine matches the configuration
-[[nodiscard]] std::optional<order> next_order(config::pool const& wanted,
+[[nodiscard]] std::optional<order> next_order(config::pool const& target,
                                               upstream_id const& upstream,
                                               engine_state const& engine);
 
 /// \brief Whether an order requires a weight-load slot of the pool.
-[[nodiscard]] bool needs_slot(order const& wanted) noexcept;
+[[nodiscard]] bool needs_slot(order const& requested) noexcept;
 
 /// \brief Whether the engine may serve the pool: its weights must be those of
 /// the pool, if the pool names any.
-[[nodiscard]] bool may_serve(config::pool const& wanted,
+[[nodiscard]] bool may_serve(config::pool const& target,
                              engine_state const& engine);
 
 } // namespace jujubestand::orders
--- a/jujubestand/quarantine/gate.cpp
+++ b/jujubestand/quarantine/gate.cpp
@@ -8,45 +8,45 @@
 namespace
 {
 
-std::size_t running_count(engine_gate const& gate)
+std::size_t in_flight_count(engine_gate const& gate)
 {
-    return static_cast<std::size_t>(std::count_if(gate.running.begin(),
-                                                  gate.running.end(),
-                                                  [](auto const& row)
-                                                  {
-                                                      return !row.second.is_cut;
-                                                  }));
+    return static_cast<std::size_t>(
+        std::count_if(gate.in_flight.begin(), gate.in_flight.end(),
+                      [](auto const& item)
+                      {
+                          return !item.second.is_connection_broken;
+                      }));
 }
 
 bool is_waiting(engine_gate const& gate, request_id const& request)
 {
-    return std::find(gate.waiting.begin(), gate.waiting.end(), request) !=
-           gate.waiting.end();
+    return std::find(gate.waiting_suspects.begin(), gate.waiting_suspects.end(),
+                     request) != gate.waiting_suspects.end();
 }
 
-void start(engine_gate& gate, request_id const& request,
-           digest const& fingerprint)
+void start_request(engine_gate& gate, request_id const& request,
+                   digest const& fingerprint)
 {
-    std::erase(gate.waiting, request);
-    gate.running[request] = gate_request{fingerprint, false};
+    std::erase(gate.waiting_suspects, request);
+    gate.in_flight[request] = gate_request{fingerprint, false};
 }
 
 // While a suspect waits, no other request starts; otherwise the suspect would
 // starve.
-passage pass_suspect(engine_gate& gate, request_id const& request,
-                     digest const& fingerprint)
+admission admit_suspect(engine_gate& gate, request_id const& request,
+                        digest const& fingerprint)
 {
     if (!is_waiting(gate, request))
-        gate.waiting.push_back(request);
-    if (running_count(gate) > 0 || gate.waiting.front() != request)
-        return passage::wait;
-    start(gate, request, fingerprint);
-    gate.alone = request;
-    return passage::start;
+        gate.waiting_suspects.push_back(request);
+    if (in_flight_count(gate) > 0 || gate.waiting_suspects.front() != request)
+        return admission::wait;
+    start_request(gate, request, fingerprint);
+    gate.isolated_suspect = request;
+    return admission::start;
 }
 
-strike strike_of(engine_gate const& gate, digest const& fingerprint,
-                 wall_time now)
+strike make_strike(engine_gate const& gate, digest const& fingerprint,
+                   wall_time now)
 {
     return {fingerprint, gate.upstream, gate.incarnation,
             now.time_since_epoch().count()};
@@ -54,110 +54,115 @@
 
 // Every request in flight gets a strike, since the one that caused the crash is
 // not known.
-gate_effects strike_all(engine_gate& gate, wall_time now)
+gate_result strike_in_flight(engine_gate& gate, wall_time now)
 {
-    notice found;
-    for (auto const& [request, entry] : gate.running)
-        found.strikes.push_back(strike_of(gate, entry.fingerprint, now));
-    gate.running.clear();
-    gate.alone.reset();
-    return {merge(gate.book, found, now)};
+    notice recorded;
+    for (auto const& [request, entry] : gate.in_flight)
+        recorded.strikes.push_back(make_strike(gate, entry.fingerprint, now));
+    gate.in_flight.clear();
+    gate.isolated_suspect.reset();
+    return {merge(gate.known_strikes, recorded, now)};
 }
 
 } // namespace
 
-passage pass(engine_gate& gate, request_id const& request,
-             digest const& fingerprint, wall_time now)
+admission admit(engine_gate& gate, request_id const& request,
+                digest const& fingerprint, wall_time now)
 {
-    judgement const found = judge(gate.book, fingerprint, now);
-    if (found == judgement::refused && gate.rules.quarantined_are_refused)
+    quarantine_status const status =
+        status_of(gate.known_strikes, fingerprint, now);
+    if (status == quarantine_status::quarantined &&
+        gate.rules.refuse_quarantined)
     {
-        give_up(gate, request);
-        return passage::refuse;
+        stop_waiting(gate, request);
+        return admission::refuse;
     }
-    bool const is_suspect = found != judgement::free;
-    if (gate.rules.suspects_run_alone)
+    bool const is_suspect = status != quarantine_status::unrestricted;
+    if (gate.rules.isolate_suspects)
     {
-        if (gate.alone)
+        if (gate.isolated_suspect)
         {
             if (is_suspect && !is_waiting(gate, request))
-                gate.waiting.push_back(request);
-            return passage::wait;
+                gate.waiting_suspects.push_back(request);
+            return admission::wait;
         }
         if (is_suspect)
-            return pass_suspect(gate, request, fingerprint);
-        if (!gate.waiting.empty() && !is_waiting(gate, request))
-            return passage::wait;
+            return admit_suspect(gate, request, fingerprint);
+        if (!gate.waiting_suspects.empty() && !is_waiting(gate, request))
+            return admission::wait;
     }
-    start(gate, request, fingerprint);
-    return passage::start;
+    start_request(gate, request, fingerprint);
+    return admission::start;
 }
 
-void give_up(engine_gate& gate, request_id const& request)
+void stop_waiting(engine_gate& gate, request_id const& request)
 {
-    std::erase(gate.waiting, request);
+    std::erase(gate.waiting_suspects, request);
 }
 
-gate_effects depart(engine_gate& gate, request_id const& request, departure how,
-                    wall_time now)
+gate_result on_request_end(engine_gate& gate, request_id const& request,
+                           request_end outcome, wall_time now)
 {
-    auto const at = gate.running.find(request);
-    if (at == gate.running.end())
+    auto const it = gate.in_flight.find(request);
+    if (it == gate.in_flight.end())
         return {};
-    if (how == departure::cut)
+    if (outcome == request_end::connection_broken)
     {
-        at->second.is_cut = true;
+        it->second.is_connection_broken = true;
         return {};
     }
-    digest const fingerprint = at->second.fingerprint;
-    gate.running.erase(at);
-    if (gate.alone == request)
-        gate.alone.reset();
-    bool const is_cleared =
-        how == departure::finished && gate.rules.finished_are_cleared &&
-        judge(gate.book, fingerprint, now) != judgement::free;
+    digest const fingerprint = it->second.fingerprint;
+    gate.in_flight.erase(it);
+    if (gate.isolated_suspect == request)
+        gate.isolated_suspect.reset();
+    bool const is_cleared = outcome == request_end::finished &&
+                            gate.rules.clear_finished &&
+                            status_of(gate.known_strikes, fingerprint, now) !=
+                                quarantine_status::unrestricted;
     if (!is_cleared)
         return {};
-    notice made;
-    made.clearances.push_back(clear_of(gate.book, fingerprint, now));
-    return {merge(gate.book, made, now)};
+    notice update;
+    update.clearances.push_back(
+        clearance_for(gate.known_strikes, fingerprint, now));
+    return {merge(gate.known_strikes, update, now)};
 }
 
-gate_effects see_engine(engine_gate& gate, incarnation_id incarnation,
-                        wall_time now)
+gate_result on_engine_answer(engine_gate& gate, incarnation_id incarnation,
+                             wall_time now)
 {
     bool const is_known = gate.incarnation != incarnation_id{};
-    bool const is_new = is_known && gate.incarnation != incarnation;
-    gate_effects effects;
-    if (is_new)
-        effects = strike_all(gate, now);
+    bool const is_new_incarnation = is_known && gate.incarnation != incarnation;
+    gate_result effects;
+    if (is_new_incarnation)
+        effects = strike_in_flight(gate, now);
     gate.incarnation = incarnation;
     // If the incarnation is the same, the connection broke but the engine did
     // not crash.
-    std::erase_if(gate.running,
-                  [](auto const& row)
+    std::erase_if(gate.in_flight,
+                  [](auto const& item)
                   {
-                      return row.second.is_cut;
+                      return item.second.is_connection_broken;
                   });
-    if (gate.alone && !gate.running.contains(*gate.alone))
-        gate.alone.reset();
+    if (gate.isolated_suspect &&
+        !gate.in_flight.contains(*gate.isolated_suspect))
+        gate.isolated_suspect.reset();
     return effects;
 }
 
-gate_effects lose_engine(engine_gate& gate, wall_time now)
+gate_result on_connect_refused(engine_gate& gate, wall_time now)
 {
-    gate_effects effects = strike_all(gate, now);
+    gate_result effects = strike_in_flight(gate, now);
     // Requests that start from now on belong to the next incarnation.
     gate.incarnation = incarnation_id{};
     return effects;
 }
 
-bool has_cut(engine_gate const& gate) noexcept
+bool has_broken_connection(engine_gate const& gate) noexcept
 {
-    return std::any_of(gate.running.begin(), gate.running.end(),
-                       [](auto const& row)
+    return std::any_of(gate.in_flight.begin(), gate.in_flight.end(),
+                       [](auto const& item)
                        {
-                           return row.second.is_cut;
+                           return item.second.is_connection_broken;
                        });
 }
 
--- a/jujubestand/quarantine/gate.hpp
+++ b/jujubestand/quarantine/gate.hpp
@@ -18,20 +18,20 @@
 {
     /// A suspect (a request with strikes, not quarantined) runs alone on the
     /// engine.
-    bool suspects_run_alone = true;
+    bool isolate_suspects = true;
     /// Quarantined requests are refused.
-    bool quarantined_are_refused = true;
+    bool refuse_quarantined = true;
     /// The strikes of a request that finishes are cleared.
-    bool finished_are_cleared = true;
+    bool clear_finished = true;
 };
 
 /// \brief How a request ended at the engine.
-enum class departure : std::uint8_t
+enum class request_end : std::uint8_t
 {
-    finished, ///< complete answer
-    cut,      ///< connection broken
-    unbegun,  ///< not received by the engine
-    stopped,  ///< cancelled or timed out
+    finished,          ///< complete answer
+    connection_broken, ///< connection broken
+    not_received,      ///< not received by the engine
+    cancelled,         ///< cancelled or timed out
 };
 
 /// \brief A request in flight at the engine, or one whose connection broke and
@@ -39,7 +39,7 @@
 struct gate_request
 {
     digest fingerprint;
-    bool is_cut = false;
+    bool is_connection_broken = false;
 };
 
 /// \brief Admits requests to one engine and tracks those in flight.
@@ -47,17 +47,17 @@
 {
     upstream_id upstream;
     incarnation_id incarnation;
-    strike_book book;
+    strike_table known_strikes;
     gate_rules rules;
-    std::map<request_id, gate_request> running;
+    std::map<request_id, gate_request> in_flight;
     /// Suspects that wait until the engine is idle, oldest first.
-    std::deque<request_id> waiting;
+    std::deque<request_id> waiting_suspects;
     /// The suspect that runs alone on the engine.
-    std::optional<request_id> alone;
+    std::optional<request_id> isolated_suspect;
 };
 
 /// \brief Decision about a request to the engine.
-enum class passage : std::uint8_t
+enum class admission : std::uint8_t
 {
     start,
     wait,   ///< try again after each end of a request
@@ -65,33 +65,34 @@
 };
 
 /// \brief Result of the end of a request or of a crash.
-struct gate_effects
+struct gate_result
 {
     /// New strikes and clearances, for the log and for answers.
-    notice made;
+    notice changes;
 };
 
 /// \brief Decides whether a request may start now, must wait or is refused.
-[[nodiscard]] passage pass(engine_gate& gate, request_id const& request,
-                           digest const& fingerprint, wall_time now);
+[[nodiscard]] admission admit(engine_gate& gate, request_id const& request,
+                              digest const& fingerprint, wall_time now);
 
 /// \brief Removes a request from the waiting suspects.
-void give_up(engine_gate& gate, request_id const& request);
+void stop_waiting(engine_gate& gate, request_id const& request);
 
 /// \brief Records the end of a request.
-[[nodiscard]] gate_effects depart(engine_gate& gate, request_id const& request,
-                                  departure how, wall_time now);
+[[nodiscard]] gate_result on_request_end(engine_gate& gate,
+                                         request_id const& request,
+                                         request_end outcome, wall_time now);
 
 /// \brief Records that the engine answered with this incarnation.
-[[nodiscard]] gate_effects
-see_engine(engine_gate& gate, incarnation_id incarnation, wall_time now);
+[[nodiscard]] gate_result
+on_engine_answer(engine_gate& gate, incarnation_id incarnation, wall_time now);
 
 /// \brief Records that the engine refuses connections after one was broken.
-[[nodiscard]] gate_effects lose_engine(engine_gate& gate, wall_time now);
+[[nodiscard]] gate_result on_connect_refused(engine_gate& gate, wall_time now);
 
 /// \brief Whether there is a broken connection for which it is not yet known
 /// whether the engine crashed.
-[[nodiscard]] bool has_cut(engine_gate const& gate) noexcept;
+[[nodiscard]] bool has_broken_connection(engine_gate const& gate) noexcept;
 
 } // namespace jujubestand::quarantine
 
--- a/jujubestand/quarantine/strike.cpp
+++ b/jujubestand/quarantine/strike.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-std::int64_t ms_of(wall_time at) noexcept
+std::int64_t ms_of(wall_time time) noexcept
 {
-    return at.time_since_epoch().count();
+    return time.time_since_epoch().count();
 }
 
 bool is_expired(strike_options const& options, std::int64_t at_ms,
@@ -21,60 +21,60 @@
     return at_ms + options.lifetime.count() <= ms_of(now);
 }
 
-bool is_same(strike const& left, strike const& right) noexcept
+bool is_same_crash(strike const& left, strike const& right) noexcept
 {
     return left.upstream == right.upstream &&
            left.incarnation == right.incarnation;
 }
 
-bool add_strike(strike_book& book, strike const& added, wall_time now)
+bool add_strike(strike_table& table, strike const& added, wall_time now)
 {
-    if (is_expired(book.options, added.at_ms, now))
+    if (is_expired(table.options, added.at_ms, now))
         return false;
-    strike_entry& entry = book.entries[added.fingerprint];
+    strike_entry& entry = table.entries[added.fingerprint];
     bool const is_known =
         std::any_of(entry.strikes.begin(), entry.strikes.end(),
-                    [&](auto const& known)
+                    [&](auto const& recorded)
                     {
-                        return is_same(known, added);
+                        return is_same_crash(recorded, added);
                     });
-    if (is_known || added.at_ms <= entry.cleared_ms)
+    if (is_known || added.at_ms <= entry.cleared_until_ms)
         return false;
     entry.strikes.push_back(added);
-    entry.changed_ms = std::max(entry.changed_ms, added.at_ms);
+    entry.last_change_ms = std::max(entry.last_change_ms, added.at_ms);
     return true;
 }
 
-bool add_clearance(strike_book& book, clearance const& added, wall_time now)
+bool add_clearance(strike_table& table, clearance const& added, wall_time now)
 {
-    if (is_expired(book.options, added.until_ms, now))
+    if (is_expired(table.options, added.until_ms, now))
         return false;
-    strike_entry& entry = book.entries[added.fingerprint];
-    if (added.until_ms <= entry.cleared_ms)
+    strike_entry& entry = table.entries[added.fingerprint];
+    if (added.until_ms <= entry.cleared_until_ms)
         return false;
-    entry.cleared_ms = added.until_ms;
-    entry.changed_ms = std::max(entry.changed_ms, added.until_ms);
+    entry.cleared_until_ms = added.until_ms;
+    entry.last_change_ms = std::max(entry.last_change_ms, added.until_ms);
     std::erase_if(entry.strikes,
-                  [&](auto const& known)
+                  [&](auto const& recorded)
                   {
-                      return known.at_ms <= entry.cleared_ms;
+                      return recorded.at_ms <= entry.cleared_until_ms;
                   });
     return true;
 }
 
 // Strikes are rare, so a table over its limit means an attack with many
 // different crashing requests; the most recently changed entries are kept.
-void bound_entries(strike_book& book)
+void evict_oldest_entries(strike_table& table)
 {
-    while (book.entries.size() > book.options.fingerprints_limit)
+    while (table.entries.size() > table.options.fingerprints_limit)
     {
         auto const oldest = std::min_element(
-            book.entries.begin(), book.entries.end(),
+            table.entries.begin(), table.entries.end(),
             [](auto const& left, auto const& right)
             {
-                return left.second.changed_ms < right.second.changed_ms;
+                return left.second.last_change_ms < right.second.last_change_ms;
             });
-        book.entries.erase(oldest);
+        table.entries.erase(oldest);
     }
 }
 
@@ -118,113 +118,115 @@
     return std::nullopt;
 }
 
-notice merge(strike_book& book, notice const& message, wall_time now)
+notice merge(strike_table& table, notice const& message, wall_time now)
 {
     notice added;
-    for (auto const& one : message.strikes)
+    for (auto const& item : message.strikes)
     {
-        if (add_strike(book, one, now))
-            added.strikes.push_back(one);
+        if (add_strike(table, item, now))
+            added.strikes.push_back(item);
     }
-    for (auto const& one : message.clearances)
+    for (auto const& item : message.clearances)
     {
-        if (add_clearance(book, one, now))
-            added.clearances.push_back(one);
+        if (add_clearance(table, item, now))
+            added.clearances.push_back(item);
     }
-    bound_entries(book);
+    evict_oldest_entries(table);
     return added;
 }
 
-judgement judge(strike_book const& book, digest const& fingerprint,
-                wall_time now)
+quarantine_status status_of(strike_table const& table,
+                            digest const& fingerprint, wall_time now)
 {
-    auto const at = book.entries.find(fingerprint);
-    if (at == book.entries.end())
-        return judgement::free;
-    auto const& strikes = at->second.strikes;
+    auto const it = table.entries.find(fingerprint);
+    if (it == table.entries.end())
+        return quarantine_status::unrestricted;
+    auto const& strikes = it->second.strikes;
     auto const count = static_cast<std::size_t>(
         std::count_if(strikes.begin(), strikes.end(),
-                      [&](auto const& one)
+                      [&](auto const& item)
                       {
-                          return !is_expired(book.options, one.at_ms, now);
+                          return !is_expired(table.options, item.at_ms, now);
                       }));
     if (count == 0)
-        return judgement::free;
-    return count < book.options.strikes_limit ? judgement::alone
-                                              : judgement::refused;
+        return quarantine_status::unrestricted;
+    return count < table.options.strikes_limit ? quarantine_status::isolated
+                                               : quarantine_status::quarantined;
 }
 
-clearance clear_of(strike_book const& book, digest const& fingerprint,
-                   wall_time now)
+clearance clearance_for(strike_table const& table, digest const& fingerprint,
+                        wall_time now)
 {
-    clearance made{fingerprint, ms_of(now)};
-    auto const at = book.entries.find(fingerprint);
-    if (at == book.entries.end())
-        return made;
+    clearance result{fingerprint, ms_of(now)};
+    auto const it = table.entries.find(fingerprint);
+    if (it == table.entries.end())
+        return result;
     // The clock of the sidecar that recorded the strike may be ahead.
-    for (auto const& one : at->second.strikes)
-        made.until_ms = std::max(made.until_ms, one.at_ms);
-    return made;
+    for (auto const& item : it->second.strikes)
+        result.until_ms = std::max(result.until_ms, item.at_ms);
+    return result;
 }
 
-void expire(strike_book& book, wall_time now)
+void expire(strike_table& table, wall_time now)
 {
-    for (auto at = book.entries.begin(); at != book.entries.end();)
+    for (auto it = table.entries.begin(); it != table.entries.end();)
     {
-        strike_entry& entry = at->second;
+        strike_entry& entry = it->second;
         std::erase_if(entry.strikes,
-                      [&](auto const& one)
+                      [&](auto const& item)
                       {
-                          return is_expired(book.options, one.at_ms, now);
+                          return is_expired(table.options, item.at_ms, now);
                       });
-        bool const is_over = entry.strikes.empty() &&
-                             is_expired(book.options, entry.cleared_ms, now);
-        at = is_over ? book.entries.erase(at) : std::next(at);
+        bool const is_obsolete =
+            entry.strikes.empty() &&
+            is_expired(table.options, entry.cleared_until_ms, now);
+        it = is_obsolete ? table.entries.erase(it) : std::next(it);
     }
 }
 
-notice newest(strike_book const& book, wall_time now)
+notice newest_notice(strike_table const& table, wall_time now)
 {
-    std::vector<std::pair<std::int64_t, digest>> order;
-    for (auto const& [fingerprint, entry] : book.entries)
+    std::vector<std::pair<std::int64_t, digest>> by_age;
+    for (auto const& [fingerprint, entry] : table.entries)
     {
-        if (!is_expired(book.options, entry.changed_ms, now))
-            order.emplace_back(-entry.changed_ms, fingerprint);
+        if (!is_expired(table.options, entry.last_change_ms, now))
+            by_age.emplace_back(-entry.last_change_ms, fingerprint);
     }
-    std::sort(order.begin(), order.end());
-    notice made;
-    for (auto const& [age, fingerprint] : order)
+    std::sort(by_age.begin(), by_age.end());
+    notice result;
+    for (auto const& [age, fingerprint] : by_age)
     {
-        strike_entry const& entry = book.entries.at(fingerprint);
-        std::size_t const room = made.strikes.size() + made.clearances.size();
-        if (room >= book.options.notice_limit)
+        strike_entry const& entry = table.entries.at(fingerprint);
+        std::size_t const used =
+            result.strikes.size() + result.clearances.size();
+        if (used >= table.options.notice_limit)
             break;
-        made.strikes.insert(made.strikes.end(), entry.strikes.begin(),
-                            entry.strikes.end());
-        if (entry.cleared_ms > 0)
-            made.clearances.push_back({fingerprint, entry.cleared_ms});
+        result.strikes.insert(result.strikes.end(), entry.strikes.begin(),
+                              entry.strikes.end());
+        if (entry.cleared_until_ms > 0)
+            result.clearances.push_back({fingerprint, entry.cleared_until_ms});
     }
-    return made;
+    return result;
 }
 
-std::vector<strike> list(strike_book const& book, wall_time now)
+std::vector<strike> active_strikes(strike_table const& table, wall_time now)
 {
-    std::vector<strike> all;
-    for (auto const& [fingerprint, entry] : book.entries)
+    std::vector<strike> active;
+    for (auto const& [fingerprint, entry] : table.entries)
     {
-        for (auto const& one : entry.strikes)
+        for (auto const& item : entry.strikes)
         {
-            if (!is_expired(book.options, one.at_ms, now))
-                all.push_back(one);
+            if (!is_expired(table.options, item.at_ms, now))
+                active.push_back(item);
         }
     }
-    std::sort(all.begin(), all.end(),
+    std::sort(active.begin(), active.end(),
               [](auto const& left, auto const& right)
               {
                   return std::tie(left.at_ms, left.fingerprint) <
                          std::tie(right.at_ms, right.fingerprint);
               });
-    return all;
+    return active;
 }
 
 } // namespace jujubestand::quarantine
--- a/jujubestand/quarantine/strike.hpp
+++ b/jujubestand/quarantine/strike.hpp
@@ -88,53 +88,55 @@
 {
     std::vector<strike> strikes;
     /// Strikes up to this time were cleared.
-    std::int64_t cleared_ms = 0;
-    std::int64_t changed_ms = 0;
+    std::int64_t cleared_until_ms = 0;
+    std::int64_t last_change_ms = 0;
 };
 
 /// \brief The strikes recorded by one process. Merging notices is commutative
 /// and idempotent: tables that received the same notices are equal.
-struct strike_book
+struct strike_table
 {
     strike_options options;
     std::unordered_map<digest, strike_entry> entries;
 };
 
 /// \brief How a request is treated because of its strikes.
-enum class judgement : std::uint8_t
+enum class quarantine_status : std::uint8_t
 {
-    free,    ///< no strikes
-    alone,   ///< below the limit of strikes; must run alone on an engine
-    refused, ///< quarantined
+    unrestricted, ///< no strikes
+    isolated,     ///< below the limit of strikes; must run alone on an engine
+    quarantined,  ///< quarantined
 };
 
-inline constexpr std::array<enum_name<judgement>, 3> judgement_names{{
-    {judgement::free, "free"},
-    {judgement::alone, "alone"},
-    {judgement::refused, "refused"},
-}};
+inline constexpr std::array<enum_name<quarantine_status>, 3>
+    quarantine_status_names{{
+        {quarantine_status::unrestricted, "free"},
+        {quarantine_status::isolated, "alone"},
+        {quarantine_status::quarantined, "refused"},
+    }};
 
 /// \brief Merges a notice into the table.
 /// \returns the strikes and clearances that were new
-notice merge(strike_book& book, notice const& message, wall_time now);
+notice merge(strike_table& table, notice const& message, wall_time now);
 
 /// \brief How a request is to be treated now.
-[[nodiscard]] judgement judge(strike_book const& book,
-                              digest const& fingerprint, wall_time now);
+[[nodiscard]] quarantine_status
+status_of(strike_table const& table, digest const& fingerprint, wall_time now);
 
 /// \brief The clearance of a request that finished successfully or that an
 /// operator clears; it covers all strikes in the table.
-[[nodiscard]] clearance clear_of(strike_book const& book,
-                                 digest const& fingerprint, wall_time now);
+[[nodiscard]] clearance clearance_for(strike_table const& table,
+                                      digest const& fingerprint, wall_time now);
 
 /// \brief Removes strikes and clearances past their lifetime.
-void expire(strike_book& book, wall_time now);
+void expire(strike_table& table, wall_time now);
 
 /// \brief The newest strikes and clearances, to be attached to an answer.
-[[nodiscard]] notice newest(strike_book const& book, wall_time now);
+[[nodiscard]] notice newest_notice(strike_table const& table, wall_time now);
 
 /// \brief The strikes that have not expired, oldest first, for operators.
-[[nodiscard]] std::vector<strike> list(strike_book const& book, wall_time now);
+[[nodiscard]] std::vector<strike> active_strikes(strike_table const& table,
+                                                 wall_time now);
 
 } // namespace jujubestand::quarantine
 
