--- a/jujubestand/orders/lease.cpp
+++ b/jujubestand/orders/lease.cpp
@@ -19,7 +19,7 @@
     if (start.upstream != state.upstream)
         return;
     bool const is_own = start.nonce == state.nonce;
-    // An append may be repeated; the first offset of the own record counts.
+    // An append may be repeated; the first offset of the record counts.
     if (is_own && state.fencing_number == log_offset{})
     {
         state.fencing_number = offset;
--- a/jujubestand/orders/lease.hpp
+++ b/jujubestand/orders/lease.hpp
@@ -31,7 +31,7 @@
     upstream_id upstream;
     /// Nonce of this sidecar's start record.
     request_id nonce;
-    /// Fencing number: offset of the start record, 0 until it was read back.
+    /// Offset of the start record; 0 until the record was read back.
     log_offset fencing_number;
     /// When the start record was read back.
     mono_time start_read_at{};
--- a/jujubestand/orders/slots.cpp
+++ b/jujubestand/orders/slots.cpp
@@ -18,7 +18,7 @@
            options.max_clock_difference;
 }
 
-// Uses the time stamps of the log, so that all readers free a slot at the same
+// Uses the timestamps of the log, so that all readers free a slot at the same
 // record.
 void expire_slots(slot_table& state, wall_time record_time)
 {
--- a/jujubestand/quarantine/gate.hpp
+++ b/jujubestand/quarantine/gate.hpp
@@ -29,9 +29,9 @@
 enum class request_end : std::uint8_t
 {
     finished,          ///< complete answer
-    connection_broken, ///< connection broken
-    not_received,      ///< not received by the engine
-    cancelled,         ///< cancelled or timed out
+    connection_broken, ///< the engine may have crashed
+    not_received,      ///< the engine never got the request
+    cancelled,         ///< includes timeouts
 };
 
 /// \brief A request in flight at the engine, or one whose connection broke and
--- a/jujubestand/quarantine/strike.hpp
+++ b/jujubestand/quarantine/strike.hpp
@@ -105,7 +105,7 @@
 {
     unrestricted, ///< no strikes
     isolated,     ///< below the limit of strikes; must run alone on an engine
-    quarantined,  ///< quarantined
+    quarantined,  ///< at the limit of strikes; refused
 };
 
 inline constexpr std::array<enum_name<quarantine_status>, 3>
