--- a/jujubestand/quarantine/gate.hpp
+++ b/jujubestand/quarantine/gate.hpp
@@ -13,82 +13,86 @@
 namespace jujubestand::quarantine
 {
 
-/// \brief The rules of the gate; all stand in production.
+/// \brief Rules of the gate; all are enabled in production.
 struct gate_rules
 {
-    /// A suspect shares the engine with nobody.
-    bool suspects_run_alone = true;
-    /// A quarantined request is refused.
-    bool quarantined_are_refused = true;
-    /// A suspect that ends well is cleared.
-    bool finished_are_cleared = true;
+    /// A suspect (a request with strikes, not quarantined) runs alone on the
+    /// engine.
+    bool isolate_suspects = true;
+    /// Quarantined requests are refused.
+    bool refuse_quarantined = true;
+    /// The strikes of a request that finishes are cleared.
+    bool clear_finished = true;
 };
 
-/// \brief How a request left the engine.
-enum class departure : std::uint8_t
+/// \brief How a request ended at the engine.
+enum class request_end : std::uint8_t
 {
-    finished, ///< with a whole answer
-    cut,      ///< with a broken connection
-    unbegun,  ///< the engine never got it
-    stopped,  ///< cancelled or timed out
+    finished,          ///< complete answer
+    connection_broken, ///< the engine may have crashed
+    not_received,      ///< the engine never got the request
+    cancelled,         ///< includes timeouts
 };
 
-/// \brief A request at the engine, or one whose connection just broke.
+/// \brief A request in flight at the engine, or one whose connection broke and
+/// for which it is not yet known whether the engine crashed.
 struct gate_request
 {
     digest fingerprint;
-    bool is_cut = false;
+    bool is_connection_broken = false;
 };
 
-/// \brief Watches what is in flight at one engine.
+/// \brief Admits requests to one engine and tracks those in flight.
 struct engine_gate
 {
     upstream_id upstream;
     incarnation_id incarnation;
-    strike_book book;
+    strike_table known_strikes;
     gate_rules rules;
-    std::map<request_id, gate_request> running;
-    /// Suspects that wait for the engine to be empty, oldest first.
-    std::deque<request_id> waiting;
-    /// The suspect that has the engine for itself.
-    std::optional<request_id> alone;
+    std::map<request_id, gate_request> in_flight;
+    /// Suspects that wait until the engine is idle, oldest first.
+    std::deque<request_id> waiting_suspects;
+    /// The suspect that runs alone on the engine.
+    std::optional<request_id> isolated_suspect;
 };
 
-/// \brief What to do with a request that wants the engine.
-enum class passage : std::uint8_t
+/// \brief Decision about a request to the engine.
+enum class admission : std::uint8_t
 {
     start,
-    wait,   ///< ask again after each departure
-    refuse, ///< it is quarantined; it has not run here
+    wait,   ///< try again after each end of a request
+    refuse, ///< quarantined; the request has not run on this engine
 };
 
-/// \brief What a departure or a crash leads to.
-struct gate_effects
+/// \brief Result of the end of a request or of a crash.
+struct gate_result
 {
-    /// For the log, and for answers.
-    notice made;
+    /// New strikes and clearances, for the log and for answers.
+    notice changes;
 };
 
-/// \brief Lets a request to the engine, holds it back or refuses it.
-[[nodiscard]] passage pass(engine_gate& gate, request_id const& request,
-                           digest const& fingerprint, wall_time now);
+/// \brief Decides whether a request may start now, must wait or is refused.
+[[nodiscard]] admission admit(engine_gate& gate, request_id const& request,
+                              digest const& fingerprint, wall_time now);
 
-/// \brief A request that waited will not ask again.
-void give_up(engine_gate& gate, request_id const& request);
+/// \brief Removes a request from the waiting suspects.
+void stop_waiting(engine_gate& gate, request_id const& request);
 
-/// \brief A request left the engine.
-[[nodiscard]] gate_effects depart(engine_gate& gate, request_id const& request,
-                                  departure how, wall_time now);
+/// \brief Records the end of a request.
+[[nodiscard]] gate_result on_request_end(engine_gate& gate,
+                                         request_id const& request,
+                                         request_end outcome, wall_time now);
 
-/// \brief The engine answered with this incarnation.
-[[nodiscard]] gate_effects
-see_engine(engine_gate& gate, incarnation_id incarnation, wall_time now);
+/// \brief Records that the engine answered with this incarnation.
+[[nodiscard]] gate_result
+on_engine_answer(engine_gate& gate, incarnation_id incarnation, wall_time now);
 
-/// \brief The engine refuses connections after it cut one.
-[[nodiscard]] gate_effects lose_engine(engine_gate& gate, wall_time now);
+/// \brief Records that the engine refuses connections after one was broken.
+[[nodiscard]] gate_result on_connect_refused(engine_gate& gate, wall_time now);
 
-/// \brief Whether a broken connection still waits for the engine's sign.
-[[nodiscard]] bool has_cut(engine_gate const& gate) noexcept;
+/// \brief Whether there is a broken connection for which it is not yet known
+/// whether the engine crashed.
+[[nodiscard]] bool has_broken_connection(engine_gate const& gate) noexcept;
 
 } // namespace jujubestand::quarantine
 
