--- a/jujubestand/gateway/agents.cpp
+++ b/jujubestand/gateway/agents.cpp
@@ -46,7 +46,7 @@
         self.operator_topic->vouch(from.operator_end, proven_at);
 }
 
-/// An engine as its agent is told of it.
+/// Data on an engine that is sent to its agent.
 struct engine_place
 {
     std::string id;
@@ -55,7 +55,7 @@
     std::uint32_t engines = 1;
 };
 
-// Ids of engines are in the same order at all gateways.
+// Engines are numbered in order of their ids, which all gateways share.
 std::map<std::string, engine_place> engines_by_host(gateway_state const& self)
 {
     std::map<std::string, std::uint32_t> pools;
--- a/jujubestand/gateway/agents.hpp
+++ b/jujubestand/gateway/agents.hpp
@@ -5,14 +5,14 @@
 #include <jujubestand/gateway/state.hpp>
 #include <string_view>
 
-/// \brief What agents beside the engines tell a gateway.
+/// \brief Status queries to the agents that run beside the engines.
 namespace jujubestand::gateway
 {
 
-/// \brief Asks all agents for their status.
+/// \brief Sends a status query to every agent that has none outstanding.
 void ask_agents(gateway_state& self);
 
-/// \brief An agent's answer came.
+/// \brief Handles a status datagram from an agent.
 void on_agent_answer(gateway_state& self, address const& from,
                      std::string_view bytes);
 
--- a/jujubestand/gateway/answers.hpp
+++ b/jujubestand/gateway/answers.hpp
@@ -4,17 +4,18 @@
 #include <jujubestand/gateway/state.hpp>
 #include <optional>
 
-/// \brief What callers are told when no upstream's answer is passed on.
+/// \brief Responses that the gateway generates itself instead of forwarding an
+/// upstream's response.
 namespace jujubestand::gateway
 {
 
-/// \brief A failure in our own name.
+/// \brief A failure reported by the gateway itself.
 struct problem
 {
     int status = 503;
     reason why;
     verdict outcome = verdict::not_run;
-    /// When the caller should come back.
+    /// Value of the Retry-After header.
     std::optional<std::chrono::milliseconds> retry_after;
 };
 
@@ -24,12 +25,12 @@
 inline constexpr int status_unavailable = 503;
 inline constexpr int status_timeout = 504;
 
-/// \brief Answers a request that was not taken in.
+/// \brief Responds with a failure before a response has started, and logs it.
 void refuse_request(gateway_state& self, http1::exchange_id exchange,
                     std::string const& request_id, problem const& what);
 
-/// \brief The status that tells a verdict truthfully: only what did not run
-/// is refused with 503.
+/// \brief Maps a verdict to an HTTP status: 503 only for calls that did not
+/// run.
 [[nodiscard]] int status_of(verdict outcome, reason_code why) noexcept;
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/beliefs.cpp
+++ b/jujubestand/gateway/beliefs.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-/// A gateway that has run for longer hears of news as they are made.
+/// Run time after which new records are assumed to arrive as they are written.
 constexpr std::chrono::milliseconds settled_after{3'000};
 constexpr std::chrono::milliseconds load_time_at_start{2'500};
 
-/// Kept of the bound on removed keys for the way to the upstream.
+/// Part of the key removal bound reserved for the transfer to the upstream.
 constexpr std::chrono::milliseconds freshness_margin{300};
 
 void reject(gateway_state& self, follow::record const& row, reason const& why)
@@ -38,7 +38,7 @@
     self.callers->set_limits(limits);
 }
 
-// A store that stays keeps what is known of it.
+// Stores that remain configured keep their known contents.
 void apply_stores(gateway_state& self)
 {
     std::vector<dispatch::part_store> next;
@@ -78,8 +78,8 @@
          {"teams", static_cast<std::int64_t>(self.tables->teams.size())}});
 }
 
-// Weights that a gateway hears of as it starts may have been named long
-// before: older ones are used only for as long as the engines take to load.
+// Weights read at startup may have been set long before. Older weights are then
+// accepted only for the time that the engines take to load the new ones.
 mono_time named_since(gateway_state const& self, mono_time now)
 {
     if (now - self.started_at > settled_after)
--- a/jujubestand/gateway/beliefs.hpp
+++ b/jujubestand/gateway/beliefs.hpp
@@ -5,27 +5,27 @@
 #include <jujubestand/gateway/state.hpp>
 #include <vector>
 
-/// \brief What a gateway believes of configuration, weights and upstreams.
+/// \brief Applies store records: configuration, weights and upstreams.
 namespace jujubestand::gateway
 {
 
-/// \brief Applies records of the operator; one that can't be read changes
-/// nothing.
+/// \brief Applies operator records; a record that cannot be decoded is logged
+/// and ignored.
 void apply_operator_records(gateway_state& self,
                             std::vector<follow::record> const& changes);
 
-/// \brief Applies records of upstreams.
+/// \brief Applies upstream records.
 void apply_upstream_records(gateway_state& self,
                             std::vector<follow::record> const& changes);
 
-/// \brief Drops upstreams whose records did not come back.
+/// \brief Removes upstreams whose records have been absent for too long.
 void drop_lapsed(gateway_state& self);
 
-/// \brief Whether keys and routes are proven recent enough to honour a key;
-/// logs each change.
+/// \brief Whether keys and routes are confirmed recent enough to accept
+/// requests; logs each change.
 [[nodiscard]] bool check_freshness(gateway_state& self, mono_time now);
 
-/// \brief Whether the balancer should send callers.
+/// \brief Whether the load balancer should route callers to this gateway.
 [[nodiscard]] bool is_ready(gateway_state& self, mono_time now);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/calls.cpp
+++ b/jujubestand/gateway/calls.cpp
@@ -15,27 +15,28 @@
 
 constexpr std::chrono::milliseconds not_fresh_pause{500};
 
-/// Callers of a gateway that stops are sent to others at once.
+/// Retry-After while draining: callers may turn to another gateway at once.
 constexpr std::chrono::milliseconds stopping_pause{50};
 
-/// Calls that come this soon after a stop began are taken whatever they are.
+/// Time after the start of a drain during which all calls are accepted.
 constexpr std::chrono::milliseconds stop_free_time{2'500};
 
-/// What a call of a plain service takes at the most.
+/// Longest time allowed for a call that is not a model request.
 constexpr std::chrono::milliseconds plain_call_time{3'000};
 
-/// Calls that wait are decided on anew at least this often.
+/// Interval at which waiting calls are re-evaluated.
 constexpr std::chrono::milliseconds review_interval{15};
 
-/// An unknown route or key may be one that we have not read yet; after this
-/// age the caller is told to come back instead.
+/// Record age up to which an unknown route or key is reported as such. With
+/// older records it may not have been read yet, and the caller is told to
+/// retry.
 constexpr std::chrono::milliseconds unknown_age_limit{2'500};
 
 problem not_fresh()
 {
     problem what;
     what.why = reason{reason_code::tables_stale,
-                      "keys and routes are not proven current",
+                      "keys and routes are not confirmed current",
                       {}};
     what.retry_after = not_fresh_pause;
     return what;
@@ -49,8 +50,8 @@
     return what;
 }
 
-// What a caller is told whose key or route is not known: only knowledge that
-// is recent can say so for certain.
+// Failure for an unknown key or route; only recent records can confirm that it
+// does not exist.
 problem unknown_or_stale(gateway_state const& self, problem const& what,
                          mono_time now)
 {
@@ -78,14 +79,14 @@
 problem stopping()
 {
     problem what;
-    what.why = reason{reason_code::draining, "this gateway stops", {}};
+    what.why = reason{reason_code::draining, "gateway is draining", {}};
     what.retry_after = stopping_pause;
     return what;
 }
 
-// The balancer may go on sending callers until the process ends; what could
-// be cut by that is refused while it has not run. How long a prompt waits at
-// an engine can't be told, so none is taken late.
+// The load balancer may route callers here until the process ends. Calls that
+// the end could cut off are rejected before they run. The queueing time of a
+// prompt at an engine is unknown, so prompts are not accepted late in a drain.
 bool ends_before_stop(gateway_state const& self, live_call const& call)
 {
     if (!self.is_stopping)
@@ -152,24 +153,24 @@
         traffic::find_route(*self.tables, call.asked.host, call.asked.path);
     if (route == nullptr)
     {
-        refuse_request(
-            self, exchange, id,
-            unknown_or_stale(self,
-                             unknown(status_not_found,
-                                     reason_code::unknown_route, "no route"),
-                             call.arrived_at));
+        refuse_request(self, exchange, id,
+                       unknown_or_stale(self,
+                                        unknown(status_not_found,
+                                                reason_code::unknown_route,
+                                                "no matching route"),
+                                        call.arrived_at));
         return;
     }
     auto const* const team = traffic::find_team(*self.tables, call.asked.key);
     bool const needs_key = !route->is_public && !self.tables->teams.empty();
     if (needs_key && team == nullptr)
     {
-        refuse_request(
-            self, exchange, id,
-            unknown_or_stale(self,
-                             unknown(status_unauthorized,
-                                     reason_code::unknown_team, "no such key"),
-                             call.arrived_at));
+        refuse_request(self, exchange, id,
+                       unknown_or_stale(self,
+                                        unknown(status_unauthorized,
+                                                reason_code::unknown_team,
+                                                "unknown API key"),
+                                        call.arrived_at));
         return;
     }
     call.route = *route;
@@ -197,8 +198,8 @@
     end_call(self, key);
 }
 
-// Agents answer hundreds of times a second; with each of them a review would
-// take all of a small gateway's processor time.
+// Agents send hundreds of status datagrams per second; a review for each would
+// use all CPU time of a small gateway.
 void plan_review(gateway_state& self)
 {
     if (self.is_review_planned || self.dispatch.waiting.empty())
--- a/jujubestand/gateway/calls.hpp
+++ b/jujubestand/gateway/calls.hpp
@@ -3,21 +3,23 @@
 
 #include <jujubestand/gateway/state.hpp>
 
-/// \brief Calls of callers, from their arrival to their answer.
+/// \brief Handling of caller requests from arrival to response.
 namespace jujubestand::gateway
 {
 
-/// \brief A caller's request was read whole.
+/// \brief Handles a completely received caller request.
 void on_request(gateway_state& self, http1::exchange_id exchange,
                 http1::server_request request);
 
-/// \brief A caller left before it had its whole answer.
+/// \brief Handles a caller that disconnected before its response was
+/// complete.
 void on_caller_gone(gateway_state& self, http1::exchange_id exchange);
 
-/// \brief Has the waiting calls reviewed shortly; not at once.
+/// \brief Schedules a review of the waiting calls unless one is already
+/// scheduled.
 void plan_review(gateway_state& self);
 
-/// \brief Decides anew on the calls that wait.
+/// \brief Re-evaluates the dispatch decision of all waiting calls.
 void review_waiting(gateway_state& self);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/event_stream.cpp
+++ b/jujubestand/gateway/event_stream.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-/// An event that is larger has no end in sight.
+/// Limit on the buffered bytes of an incomplete event.
 constexpr std::size_t event_limit_bytes = 1U << 20U;
 
-// Bytes up to the blank line that ends the first event; 0 if there is none.
+// Size of the first event including the blank line that ends it; 0 if the text
+// holds no complete event.
 std::size_t first_event_bytes(std::string_view text)
 {
     constexpr std::string_view plain_end = "\n\n";
--- a/jujubestand/gateway/event_stream.hpp
+++ b/jujubestand/gateway/event_stream.hpp
@@ -9,23 +9,24 @@
 namespace jujubestand::gateway
 {
 
-/// \brief What was passed on of a stream of server-sent events.
+/// \brief Forwarding state of a stream of server-sent events.
 struct event_stream
 {
-    /// Bytes after the last whole event.
+    /// Bytes of an incomplete event.
     std::string partial;
-    /// Highest id that was passed on.
+    /// Highest id that was forwarded.
     std::optional<std::uint64_t> last_id;
     /// An event came out of order; nothing more may be passed on.
     bool is_broken = false;
 };
 
-/// \brief Takes in bytes of a stream.
-/// \returns the whole events among them that follow the last one; an event
-/// that was passed on before is left out
+/// \brief Consumes bytes of a stream.
+/// \returns the events completed by these bytes, without those that were
+/// already forwarded
 [[nodiscard]] std::string on_bytes(event_stream& state, std::string_view bytes);
 
-/// \brief The stream goes on in another answer: what was partial is dropped.
+/// \brief Discards the incomplete event before the stream resumes in another
+/// response.
 void on_continued(event_stream& state);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/gateway.cpp
+++ b/jujubestand/gateway/gateway.cpp
@@ -20,10 +20,11 @@
 constexpr std::chrono::milliseconds upstream_pause{500};
 constexpr std::chrono::milliseconds stop_check_interval{50};
 
-/// After SIGTERM the balancer still sends callers until it has noticed.
+/// After SIGTERM the load balancer still routes callers here until its health
+/// check fails.
 constexpr std::chrono::milliseconds stop_notice{2'300};
 
-/// Kept of the grace for leaving in order.
+/// Part of the grace period reserved for an orderly shutdown.
 constexpr std::chrono::milliseconds stop_margin{400};
 
 void log_store(gateway_state& self, char const* topic, reason const* why)
@@ -125,8 +126,8 @@
     auto const& settings = self.settings;
     if (!settings.callers)
     {
-        why =
-            reason{reason_code::settings_invalid, "no address for callers", {}};
+        why = reason{
+            reason_code::settings_invalid, "no listen address for callers", {}};
         return false;
     }
     address const own{settings.ip, settings.internal_port};
@@ -136,7 +137,8 @@
            self.datagrams->bind(own, why) && self.records->listen(own, why);
 }
 
-// On a timer, since time alone decides some of it.
+// Runs on a timer, since record age, lapses and deadlines change without any
+// event.
 void on_tick(gateway_state& self)
 {
     auto const now = mono_now();
@@ -168,8 +170,8 @@
 {
     auto const since = mono_now() - self.stopping_since;
     bool const is_idle = self.callers->busy() == 0 && since >= stop_notice;
-    // The second check in a row has seen the callers that the listener still
-    // held at the first.
+    // Two idle checks in a row: connections that were pending at the listener
+    // during the first check are counted as busy by the second.
     bool const is_done = is_idle && self.was_idle;
     self.was_idle = is_idle;
     if (is_done || since >= self.settings.limits.stop_grace - stop_margin)
--- a/jujubestand/gateway/gateway.hpp
+++ b/jujubestand/gateway/gateway.hpp
@@ -7,8 +7,8 @@
 namespace jujubestand::gateway
 {
 
-/// \brief Runs a gateway until SIGTERM: it takes calls of callers and sends
-/// them straight to upstreams.
+/// \brief Runs a gateway until SIGTERM. The gateway accepts caller requests and
+/// sends them directly to upstreams.
 [[nodiscard]] process::exit_code run(node::settings settings);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/moves.cpp
+++ b/jujubestand/gateway/moves.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Moves leave half of the budget to sends that failed.
+// Migrations leave half of the retry budget to failed attempts.
 bool can_afford_move(gateway_state& self, live_call const& call)
 {
     return self.budgets[call.terms.pool].saved >=
--- a/jujubestand/gateway/moves.hpp
+++ b/jujubestand/gateway/moves.hpp
@@ -3,12 +3,12 @@
 
 #include <jujubestand/gateway/state.hpp>
 
-/// \brief Streams that go on at another engine.
+/// \brief Migration of streams to another engine.
 namespace jujubestand::gateway
 {
 
-/// \brief An engine is about to load weights: streams that may go on
-/// elsewhere do so, since the load waits for every call that runs there.
+/// \brief Migrates resumable streams away from an engine that is about to load
+/// weights, since the load waits for every call running on the engine.
 void move_streams(gateway_state& self, dispatch::upstream_key from);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/part_stores.cpp
+++ b/jujubestand/gateway/part_stores.cpp
@@ -27,8 +27,9 @@
     }
 }
 
-// Events that were lost leave parts unknown that are there; a list would hold
-// the store up, and the parts come back with their next use.
+// After lost events some cached parts are unknown to the gateway. They are not
+// listed, since a listing would block the store; they reappear with their next
+// use.
 void on_events(gateway_state& self, std::string const& name,
                std::optional<std::string> const& body)
 {
--- a/jujubestand/gateway/part_stores.hpp
+++ b/jujubestand/gateway/part_stores.hpp
@@ -3,11 +3,12 @@
 
 #include <jujubestand/gateway/state.hpp>
 
-/// \brief Stores of cached parts of prompts, and what they hold.
+/// \brief Tracking of the contents of the stores of cached prompt parts.
 namespace jujubestand::gateway
 {
 
-/// \brief Reads the events of every store; for gateways that read for all.
+/// \brief Polls the events of every store. Called on the gateways that read
+/// for the others.
 void watch_stores(gateway_state& self, mono_time now);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/peers.cpp
+++ b/jujubestand/gateway/peers.cpp
@@ -13,18 +13,18 @@
 namespace
 {
 
-/// Gateways that read the store while all is well.
+/// Number of gateways that read the store in normal operation.
 constexpr std::size_t readers = 2;
 
-/// Knowledge that is older makes a gateway read by itself.
+/// Record age above which a gateway reads the store directly.
 constexpr std::chrono::milliseconds lag_limit{1'300};
 
-// A proof dates from the beginning of its wait, and holds until the next one
-// comes: a wait too long makes all gateways read.
+// A confirmation is dated from the start of its long poll and is used until the
+// next one arrives: too long a poll would make all gateways read the store.
 static_assert(2 * operator_wait + 2 * tick_interval < lag_limit);
 constexpr std::chrono::milliseconds fetch_timeout{800};
 
-// The gateways that read, by IP number.
+// IP addresses of the gateways that read the store.
 std::vector<std::string> readers_of(gateway_state const& self)
 {
     auto const count = std::min(readers, self.peers.size());
--- a/jujubestand/gateway/peers.hpp
+++ b/jujubestand/gateway/peers.hpp
@@ -4,30 +4,34 @@
 #include <jujubestand/gateway/state.hpp>
 #include <string_view>
 
-/// \brief Gateways share what they read from the store: two of them read, the
-/// others ask these, and each reads by itself when nobody has news in time.
+/// \brief Sharing of store records between gateways: two gateways read the
+/// store and the others query these two. A gateway whose records become stale
+/// reads the store directly.
 namespace jujubestand::gateway
 {
 
-/// \brief The store may wait this long for a record of the operator.
+/// \brief Long-poll timeout of reads of the operator topic.
 inline constexpr std::chrono::milliseconds operator_wait{500};
 
-/// \brief How often gateways and agents are asked.
+/// \brief Interval at which gateways and agents are queried.
 inline constexpr std::chrono::milliseconds tick_interval{100};
 
-/// \brief Asks the gateways that read, and decides whether to read by itself.
+/// \brief Queries the reading gateways and decides whether this gateway reads
+/// the store directly.
 void ask_peers(gateway_state& self);
 
-/// \brief A datagram of another gateway came.
+/// \brief Handles a datagram from another gateway.
 void on_peer_datagram(gateway_state& self, address const& from,
                       std::string_view bytes);
 
-/// \brief Another gateway asks for records.
+/// \brief Serves a record request of another gateway.
 void on_records_request(gateway_state& self, http1::exchange_id exchange,
                         http1::server_request const& request);
 
-/// \brief Gets records from a gateway or an agent.
-/// \param since offset of the first record that is asked for
+/// \brief Fetches records from a gateway or an agent. Does nothing while a
+/// fetch of the same path is in flight.
+/// \param since offset of the first requested record
+/// \param proven_at time at which the records were confirmed current
 void fetch_records(gateway_state& self, std::string const& host,
                    follow::follower& topic, std::string const& path,
                    std::uint64_t since, mono_time proven_at);
--- a/jujubestand/gateway/questions.cpp
+++ b/jujubestand/gateway/questions.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/// An unanswered question is repeated after this. Where answers queue on a
-/// narrow link, more questions would only lengthen the queue.
+/// Time after which an unanswered query is repeated. Repeating earlier would
+/// lengthen the queue of answers on a narrow link.
 constexpr std::chrono::milliseconds answer_wait{400};
 
-/// A reader that is silent for longer is not followed further.
+/// Silence after which another reader is followed.
 constexpr std::chrono::milliseconds reader_silence{1'000};
 
 } // namespace
--- a/jujubestand/gateway/questions.hpp
+++ b/jujubestand/gateway/questions.hpp
@@ -6,39 +6,40 @@
 #include <string>
 #include <vector>
 
-/// \brief When a gateway asks other processes, and which gateway it follows.
+/// \brief Pacing of status queries to other processes, and the choice of the
+/// gateway to follow.
 namespace jujubestand::gateway
 {
 
-/// \brief The last question to one process.
+/// \brief The last query sent to a host.
 struct sent_question
 {
     mono_time at{};
     bool is_answered = false;
 };
 
-/// \brief Questions by the host that was asked.
+/// \brief Last query by host.
 using questions = std::map<std::string, sent_question>;
 
-/// \brief Whether to ask a process again: not while a question is open.
-/// Counts as a question sent if so.
+/// \brief Whether a query may be sent to a host, which is not so while one is
+/// outstanding. If so, records the query as sent.
 bool may_ask(questions& sent, std::string const& host, mono_time now);
 
-/// \brief A process answered.
+/// \brief Marks the query to a host as answered.
 void on_answered(questions& sent, std::string const& host);
 
-/// \brief The gateway whose knowledge of the stores of parts is followed. One
-/// at a time: what two of them have read differs in its order.
+/// \brief The reading gateway from which the contents of the part stores are
+/// taken. Only one at a time, since the readers order changes differently.
 struct followed_reader
 {
-    /// Empty: none yet.
+    /// Empty until a reader is chosen.
     std::string host;
     mono_time heard_at{};
 };
 
-/// \brief Turns to another reader if the followed one is silent or reads no
-/// more.
-/// \param readers IP numbers of the gateways that read
+/// \brief Switches to the next reader if the followed one has timed out or no
+/// longer reads.
+/// \param readers IP addresses of the gateways that read the store
 void follow_reader(followed_reader& followed,
                    std::vector<std::string> const& readers, mono_time now);
 
--- a/jujubestand/gateway/repeats.cpp
+++ b/jujubestand/gateway/repeats.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Sends of one call, those included that did not run.
+/// Limit on the attempts of a call, including those that did not run.
 constexpr std::uint32_t sends_limit = 6;
 
 } // namespace
@@ -18,8 +18,8 @@
 retries::retry_options retry_options_of(gateway_state const& self)
 {
     auto const& limits = self.settings.limits;
-    // Other gateways spend from the same reserve; a part stays unused for
-    // those that are not known yet.
+    // All gateways share the reserve; a part of it is left for gateways that
+    // are not known yet.
     constexpr double ratio_share = 0.85;
     constexpr double reserve_share = 0.65;
     retries::retry_options options;
@@ -64,14 +64,14 @@
                : verdict::may_have_run;
 }
 
-// The route's limit counts upstreams that may have run the call.
+// The route's attempt limit counts only upstreams that may have executed the
+// call.
 void count_run(live_call& call)
 {
     ++call.runs;
     call.terms.tried.push_back(call.upstream_key);
 }
 
-// \returns `none` if the call may be sent once more, or why it may not
 reason_code why_not_again(gateway_state& self, live_call const& call,
                           dispatch::send_outcome outcome, mono_time now)
 {
@@ -93,7 +93,7 @@
     auto made =
         retries::decide(self.budgets[call.terms.pool], retry_options_of(self),
                         progress, failure, now, self.draw());
-    // An answer that has begun is lost if it can't go on.
+    // A response that has started would be lost without a retry.
     if (made.why == reason_code::retry_budget_spent && call.is_begun)
         made = retries::decide(self.rescues[call.terms.pool],
                                rescue_options_of(self), progress, failure, now,
@@ -114,7 +114,7 @@
     for (auto const& [key, outcome] : held)
     {
         live_call const* const call = find_call(self, key);
-        // Its caller has left.
+        // The caller has disconnected.
         if (call == nullptr)
             continue;
         auto const why_not = why_not_again(self, *call, outcome, now);
@@ -125,7 +125,7 @@
         else
         {
             problem what;
-            what.why = reason{why_not, "no time for one more send", {}};
+            what.why = reason{why_not, "suspended call may not be retried", {}};
             what.outcome = call->outcome;
             fail_call(self, key, what);
         }
--- a/jujubestand/gateway/repeats.hpp
+++ b/jujubestand/gateway/repeats.hpp
@@ -3,41 +3,42 @@
 
 #include <jujubestand/gateway/state.hpp>
 
-/// \brief Whether a call may be sent once more after a send that failed.
+/// \brief Retries of failed attempts and their budget.
 namespace jujubestand::gateway
 {
 
-/// \brief This gateway's share of the repeated sends that all may make.
+/// \brief This gateway's share of the retry budget of all gateways.
 [[nodiscard]] retries::retry_options
 retry_options_of(gateway_state const& self);
 
-/// \brief What is kept of it for answers that have begun.
+/// \brief Separate share of that budget for responses that have started.
 [[nodiscard]] retries::retry_options
 rescue_options_of(gateway_state const& self);
 
-/// \brief Whether a call may run more than once.
+/// \brief Whether a call may be executed more than once.
 [[nodiscard]] bool may_repeat(live_call const& call);
 
-/// \brief What is known of a run, by how its send ended.
+/// \brief Whether a call ran, as far as the outcome of its attempt shows.
 [[nodiscard]] verdict verdict_of(dispatch::send_outcome outcome);
 
-/// \brief Counts an upstream that may have run the call.
+/// \brief Counts an attempt that may have executed the call and excludes its
+/// upstream from further attempts.
 void count_run(live_call& call);
 
-/// \brief Whether the call may be sent once more; if so, that send counts.
-/// \returns `none`, or why not
+/// \brief Whether the call may be retried; if so, charges the retry budget.
+/// \returns `none`, or the reason against a retry
 [[nodiscard]] reason_code why_not_again(gateway_state& self,
                                         live_call const& call,
                                         dispatch::send_outcome outcome,
                                         mono_time now);
 
-/// \brief Keeps an answer that has begun until the budget allows one more
-/// send: cut off, it would be lost.
+/// \brief Holds a call whose response has started until the budget allows a
+/// retry; aborting it would lose the response.
 void suspend(gateway_state& self, dispatch::call_key key,
              dispatch::send_outcome outcome);
 
-/// \brief Sends suspended calls again as far as the budget allows, and ends
-/// those whose time is over.
+/// \brief Retries suspended calls as far as the budget allows and fails those
+/// that may no longer be retried.
 void review_suspended(gateway_state& self);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/sends.cpp
+++ b/jujubestand/gateway/sends.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-/// Callers that were refused with nothing better known come back after this.
+/// Retry-After of calls that failed without having run.
 constexpr std::chrono::milliseconds retry_pause{200};
 
-/// Kept connections of calls that may run once: an idle one could be closed
-/// by the upstream just as the call is written to it.
+/// Maximum idle time of a reused connection for calls that must run at most
+/// once: the upstream could close an older one just as the call is written.
 constexpr std::chrono::milliseconds once_idle_limit{1'500};
 constexpr std::chrono::milliseconds idle_limit{4'000};
 constexpr std::chrono::milliseconds connect_timeout{600};
@@ -31,8 +31,8 @@
     return status >= first_success && status < first_redirect;
 }
 
-// Statuses that promise that a call has not run; an upstream's own answer
-// that lacks the promise must not look like one.
+// Statuses that tell the caller that the call did not run. An upstream response
+// with such a status that does not guarantee this must not be forwarded.
 bool promises_not_run(int status)
 {
     constexpr int timeout = 408;
@@ -146,7 +146,8 @@
     {
         http1::call_end end;
         end.may_have_sent = true;
-        end.why = reason{reason_code::answer_too_large, "endless event", {}};
+        end.why = reason{
+            reason_code::answer_too_large, "server-sent event too large", {}};
         self.upstreams->cancel(call->send);
         on_send_end(self, key, end);
         return;
@@ -163,7 +164,7 @@
     self.callers->send(call->exchange, events);
 }
 
-// How one send ended, as far as its upstream is concerned.
+// Outcome of an attempt as dispatch counts it for the upstream.
 dispatch::send_outcome outcome_of(live_call const& call,
                                   http1::call_end const& end)
 {
@@ -180,8 +181,8 @@
                                                     : send_outcome::served;
 }
 
-// A whole answer that can go to the caller; a failure of the upstream's own
-// only if nothing better can be had.
+// Whether the response can be forwarded at once. A server error of the upstream
+// is forwarded only if the call may not be retried.
 bool is_final(live_call const& call, dispatch::send_outcome outcome)
 {
     return outcome == dispatch::send_outcome::served &&
@@ -233,7 +234,8 @@
     problem what;
     what.why = end.why;
     if (what.why.code == reason_code::none)
-        what.why = reason{reason_code::upstream_error, "no usable answer", {}};
+        what.why = reason{
+            reason_code::upstream_error, "no usable upstream response", {}};
     what.outcome = call->outcome;
     what.status = status_of(call->outcome, what.why.code);
     if (call->outcome == verdict::not_run)
@@ -356,7 +358,7 @@
         self.log->write(event_number::request_failed, call->asked.request_id,
                         {{"verdict", to_name(verdict_names, what.outcome)},
                          {"reason", to_name(what.why.code)},
-                         {"why", "answer cut after it had begun"}});
+                         {"why", "response aborted after it had started"}});
         self.callers->abort(call->exchange);
     }
     else
--- a/jujubestand/gateway/sends.hpp
+++ b/jujubestand/gateway/sends.hpp
@@ -4,24 +4,27 @@
 #include <jujubestand/gateway/answers.hpp>
 #include <jujubestand/gateway/state.hpp>
 
-/// \brief Sends of a call to upstreams, and their answers.
+/// \brief Attempts of a call at upstreams and their responses.
 namespace jujubestand::gateway
 {
 
-/// \brief A call by its key; null if it has ended.
+/// \brief Finds a call by key; null if it has ended.
 [[nodiscard]] live_call* find_call(gateway_state& self, dispatch::call_key key);
 
-/// \brief Carries out a decision on a call.
+/// \brief Executes a dispatch decision: sends, holds or fails the call.
 void apply(gateway_state& self, dispatch::decision const& made);
 
-/// \brief Sends a call once more, from where its answer has got to.
+/// \brief Submits a call for another attempt; a stream resumes after the last
+/// forwarded event.
 void send_again(gateway_state& self, dispatch::call_key key);
 
-/// \brief Ends a call with a failure of our own.
+/// \brief Ends a call with a failure reported by the gateway; a response that
+/// has started is aborted.
 void fail_call(gateway_state& self, dispatch::call_key key,
                problem const& what);
 
-/// \brief Forgets a call; its answer is given or nobody waits for it.
+/// \brief Removes a call whose response is complete or whose caller has
+/// disconnected.
 void end_call(gateway_state& self, dispatch::call_key key);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/state.hpp
+++ b/jujubestand/gateway/state.hpp
@@ -31,39 +31,40 @@
 namespace jujubestand::gateway
 {
 
-/// \brief One call that is being served.
+/// \brief A caller's request in progress.
 struct live_call
 {
     http1::exchange_id exchange;
     traffic::caller_call asked;
-    /// As it was when the call came in.
+    /// Copy taken on arrival; later configuration changes do not affect it.
     traffic::route route;
     traffic::team team;
     mono_time arrived_at{};
     mono_time deadline{};
     dispatch::call terms;
-    /// The send under way; default if there is none.
+    /// Upstream request in flight; default-constructed if there is none.
     http1::call_id send;
     std::string upstream;
     dispatch::upstream_key upstream_key = 0;
     std::uint32_t sends = 0;
-    /// Sends after which the call may have run.
+    /// Number of attempts that may have executed the call.
     std::uint32_t runs = 0;
-    /// Worst over the sends that ended.
+    /// Worst verdict over the attempts that ended.
     verdict outcome = verdict::not_run;
     traffic::answer_head answer;
-    /// Body of an answer that is passed on whole.
+    /// Buffered response body; streams are forwarded without buffering.
     std::string body;
     event_stream events;
-    /// The caller has the head of the answer.
+    /// The response head was sent to the caller.
     bool is_begun = false;
-    /// The answer under way is read, but not passed on.
+    /// The current upstream response is read but not forwarded.
     bool is_ignored = false;
-    /// The upstream ran a failure that may be repeated elsewhere.
+    /// The upstream answered with a server error and the call may be
+    /// retried on another upstream.
     bool is_repeatable_failure = false;
 };
 
-/// \brief A store of parts whose events this gateway reads.
+/// \brief A store of cached prompt parts whose events this gateway reads.
 struct watched_store
 {
     status::cache_view cache;
@@ -73,7 +74,7 @@
     mono_time next_at{};
 };
 
-/// \brief One gateway process.
+/// \brief State of a gateway process.
 struct gateway_state
 {
     event_base* base = nullptr;
@@ -86,21 +87,22 @@
     std::unique_ptr<platform::store> store;
     std::unique_ptr<follow::follower> operator_topic;
     std::unique_ptr<follow::follower> upstream_topic;
-    /// Messages with agents and other gateways.
+    /// Status datagrams to and from agents and other gateways.
     std::unique_ptr<loop::datagrams> datagrams;
-    /// Serves records to other gateways.
+    /// Serves store records to other gateways.
     std::unique_ptr<http1::server> records;
     std::optional<loop::timer> tick_timer;
     std::optional<loop::timer> review_timer;
     std::optional<loop::timer> stop_timer;
-    /// `review_timer` runs.
+    /// `review_timer` is armed.
     bool is_review_planned = false;
     follow::lapses lapses;
     std::optional<traffic::tables> tables;
     dispatch::state dispatch;
-    /// Repeated sends that are left, by pool.
+    /// Retry budget per pool.
     std::map<std::string, retries::retry_budget> budgets;
-    /// The same for answers that have begun, when the others are spent.
+    /// Second retry budget per pool, for responses that have started; used
+    /// once the first is exhausted.
     std::map<std::string, retries::retry_budget> rescues;
     std::unordered_map<dispatch::call_key, live_call> live;
     std::map<http1::exchange_id, dispatch::call_key> by_exchange;
@@ -108,19 +110,19 @@
     std::mt19937_64 draw;
     bool is_fresh = false;
     bool is_stopping = false;
-    /// No call was open at the last check of a stop.
+    /// The previous drain check found the gateway idle.
     bool was_idle = false;
-    /// By address.
+    /// Keyed by store address.
     std::map<std::string, watched_store> watched_stores;
-    /// Answers that have begun and wait for the retry budget, with how their
-    /// last send ended.
+    /// Calls whose response has started and that wait for retry budget, with
+    /// the outcome of the last attempt.
     std::map<dispatch::call_key, dispatch::send_outcome> suspended;
-    /// Paths of the records that are being fetched.
+    /// Paths of the record fetches in flight.
     std::set<std::string> fetching;
     gateway::questions questions;
     followed_reader stores_from;
-    /// IP numbers of all gateways, those with the widest links first; empty
-    /// until agents tell.
+    /// IP addresses of all gateways, highest link bandwidth first; empty until
+    /// an agent has reported them.
     std::vector<std::string> peers;
     mono_time started_at{};
     mono_time stopping_since{};
--- a/jujubestand/gateway/test/operations_test.cpp
+++ b/jujubestand/gateway/test/operations_test.cpp
@@ -44,7 +44,8 @@
 
 } // namespace
 
-// The walks of the operators' book use lines that the programs write.
+// The operations manual must quote only log lines whose events and fields the
+// programs write.
 TEST(operations, quoted_lines_have_events_and_fields_that_exist)
 {
     std::string const code = sources();
--- a/jujubestand/gateway/test/questions_test.cpp
+++ b/jujubestand/gateway/test/questions_test.cpp
@@ -14,8 +14,9 @@
 
 } // namespace
 
-// A gateway whose link was full asked ten times a second for answers that were
-// still in the queue, and got each of them ten times.
+// Guards against repeated queries on a saturated link: while answers were still
+// queued, a gateway sent ten queries a second and received each answer ten
+// times.
 TEST(questions, an_open_question_is_not_repeated_at_each_tick)
 {
     questions sent;
@@ -46,8 +47,8 @@
     EXPECT_TRUE(sent.empty());
 }
 
-// Two readers count changes each on its own: a gateway that took from both in
-// turn got all parts of all stores with every answer.
+// Each of the two readers numbers changes on its own. A gateway that alternated
+// between them received the full contents of all stores with every answer.
 TEST(questions, one_reader_is_followed_while_it_answers)
 {
     std::vector<std::string> const readers = {"10.0.0.1", "10.0.0.2"};
--- a/jujubestand/gateway/test/repeats_test.cpp
+++ b/jujubestand/gateway/test/repeats_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr double no_reserve = 2;
 
-/// A gateway that may repeat `no_reserve` sends in all.
+/// Limits the gateway to `no_reserve` retries in total.
 void limit_repeats(gateway_state& self)
 {
     self.settings.limits.retry_ratio = 0;
@@ -52,7 +52,7 @@
               reason_code::retry_budget_spent);
 }
 
-/// A gateway with what a call needs to go on or to end; no socket is used.
+/// A gateway with one suspended call; no socket is used.
 class suspended_answer : public testing::Test
 {
 protected:
@@ -117,7 +117,7 @@
     EXPECT_TRUE(this->self.dispatch.waiting.empty());
 }
 
-// The caller's connection is unknown to the server here, as after its close.
+// The server does not have the caller's connection, as after a disconnect.
 TEST_F(suspended_answer, is_not_sent_on_once_its_caller_has_left)
 {
     this->self.by_exchange[this->self.live.at(key).exchange] = key;
@@ -129,8 +129,8 @@
     EXPECT_TRUE(this->self.by_exchange.empty());
 }
 
-// Callers were refused for want of a budget that only sends which arrive at an
-// upstream have to spare.
+// Guards against rejecting callers because failed connects used up the retry
+// budget, which only limits attempts that reach an upstream.
 TEST(repeats, a_send_that_never_connected_costs_no_budget)
 {
     gateway_state self;
