--- a/jujubestand/gateway/agents.cpp
+++ b/jujubestand/gateway/agents.cpp
@@ -31,19 +31,19 @@
     return load;
 }
 
-void take_proof(gateway_state& self, std::string const& host,
-                status::answer const& from)
+void apply_proof(gateway_state& state, std::string const& host,
+                 status::answer const& from)
 {
     if (from.proof_age_us < 0 || from.asked_at_us == 0)
         return;
     auto const proven_at =
         mono_time{microseconds{from.asked_at_us - from.proof_age_us}};
-    auto const& known = self.operator_topic->known();
+    auto const& known = state.operator_topic->known();
     if (!known.is_listed || from.operator_end > known.next)
-        fetch_records(self, host, *self.operator_topic, operator_records_path,
+        fetch_records(state, host, *state.operator_topic, operator_records_path,
                       known.is_listed ? known.next : 0, proven_at);
     else
-        self.operator_topic->vouch(from.operator_end, proven_at);
+        state.operator_topic->vouch(from.operator_end, proven_at);
 }
 
 /// Data on an engine that is sent to its agent.
@@ -56,86 +56,89 @@
 };
 
 // Engines are numbered in order of their ids, which all gateways share.
-std::map<std::string, engine_place> engines_by_host(gateway_state const& self)
+std::map<std::string, engine_place> engines_by_host(gateway_state const& state)
 {
     std::map<std::string, std::uint32_t> pools;
     std::map<std::string, engine_place> hosts;
-    for (auto const& [id, key] : self.dispatch.by_id)
+    for (auto const& [id, key] : state.dispatch.by_id)
     {
-        auto const& one = self.dispatch.upstreams.at(key);
-        auto const& host = one.record.where.host;
-        if (one.versions.empty() || one.is_replaced ||
-            dispatch::find_by_host(self.dispatch, host) != &one)
+        auto const& known_upstream = state.dispatch.upstreams.at(key);
+        auto const& host = known_upstream.record.where.host;
+        if (known_upstream.versions.empty() || known_upstream.is_replaced ||
+            dispatch::find_by_host(state.dispatch, host) != &known_upstream)
             continue;
-        auto& count = pools[one.record.pool];
-        hosts[host] = {id, one.cache.mark, count, 1};
-        if (!one.record.is_leaving)
+        auto& count = pools[known_upstream.record.pool];
+        hosts[host] = {id, known_upstream.cache.mark, count, 1};
+        if (!known_upstream.record.is_leaving)
             ++count;
     }
     for (auto& [host, engine] : hosts)
     {
-        auto const& one =
-            self.dispatch.upstreams.at(self.dispatch.by_id.at(engine.id));
-        engine.engines = pools[one.record.pool];
+        auto const& known_upstream =
+            state.dispatch.upstreams.at(state.dispatch.by_id.at(engine.id));
+        engine.engines = pools[known_upstream.record.pool];
     }
     return hosts;
 }
 
 } // namespace
 
-void ask_agents(gateway_state& self)
+void query_agents(gateway_state& state)
 {
     status::question question;
     auto const now = mono_now();
-    auto const& known = self.operator_topic->known();
+    auto const& known = state.operator_topic->known();
     question.asked_at_us = to_us(now);
     question.operator_end = known.next;
-    for (auto const& [model, wanted] : self.dispatch.weights)
+    for (auto const& [model, wanted] : state.dispatch.weights)
         question.wanted[model] = wanted.version;
     if (auto const age = follow::age(known, now))
         question.proof_age_us = age->count();
-    question.gateway = self.settings.name;
-    question.link_mbps = self.settings.link_mbps;
-    question.gateways_hash = status::hash_of(self.peers);
-    for (auto const& [host, engine] : engines_by_host(self))
+    question.gateway = state.settings.name;
+    question.link_mbps = state.settings.link_mbps;
+    question.gateways_hash = status::hash_of(state.gateway_hosts);
+    for (auto const& [host, engine] : engines_by_host(state))
     {
-        if (!may_ask(self.questions, host, now))
+        if (!begin_query(state.status_queries, host, now))
             continue;
         question.cache = engine.cache;
         question.upstream = engine.id;
         question.place = engine.place;
         question.engines = engine.engines;
-        self.datagrams->send(address{host, self.settings.internal_port},
-                             status::to_datagram(question));
+        state.datagrams->send(address{host, state.settings.internal_port},
+                              status::to_datagram(question));
     }
 }
 
-void on_agent_answer(gateway_state& self, address const& from,
-                     std::string_view bytes)
+void on_agent_datagram(gateway_state& state, address const& from,
+                       std::string_view bytes)
 {
     auto const answer = status::from_datagram<status::answer>(bytes);
     if (!answer)
         return;
     auto const now = mono_now();
     if (answer->asked_at_us != 0)
-        on_answered(self.questions, from.host);
-    auto const* const one = dispatch::find_by_host(self.dispatch, from.host);
-    if (one != nullptr)
+        on_query_answered(state.status_queries, from.host);
+    auto const* const known_upstream =
+        dispatch::find_by_host(state.dispatch, from.host);
+    if (known_upstream != nullptr)
     {
-        bool const was_preparing = one->load && one->load->is_preparing;
-        dispatch::on_load(self.dispatch, one->key, to_load(*answer, now));
+        bool const was_preparing =
+            known_upstream->load && known_upstream->load->is_preparing;
+        dispatch::on_load(state.dispatch, known_upstream->key,
+                          to_load(*answer, now));
         if (answer->is_preparing && !was_preparing)
-            move_streams(self, one->key);
-        dispatch::on_cache(self.dispatch, one->key, answer->cache);
+            migrate_streams(state, known_upstream->key);
+        dispatch::on_cache(state.dispatch, known_upstream->key, answer->cache);
     }
     if (!answer->gateways.empty())
     {
-        self.peers = answer->gateways;
-        self.dispatch.gateways =
+        state.gateway_hosts = answer->gateways;
+        state.dispatch.gateways =
             static_cast<std::uint32_t>(answer->gateways.size());
     }
-    take_proof(self, from.host, *answer);
-    plan_review(self);
+    apply_proof(state, from.host, *answer);
+    schedule_review(state);
 }
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/agents.hpp
+++ b/jujubestand/gateway/agents.hpp
@@ -10,11 +10,11 @@
 {
 
 /// \brief Sends a status query to every agent that has none outstanding.
-void ask_agents(gateway_state& self);
+void query_agents(gateway_state& state);
 
 /// \brief Handles a status datagram from an agent.
-void on_agent_answer(gateway_state& self, address const& from,
-                     std::string_view bytes);
+void on_agent_datagram(gateway_state& state, address const& from,
+                       std::string_view bytes);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/answers.cpp
+++ b/jujubestand/gateway/answers.cpp
@@ -8,34 +8,35 @@
 namespace
 {
 
-std::string body_of(problem const& what)
+std::string body_of(problem const& error)
 {
     std::string body = R"({"reason":")";
-    body += to_name(what.why.code);
+    body += to_name(error.why.code);
     body += R"(","verdict":")";
-    body += to_name(verdict_names, what.outcome);
+    body += to_name(verdict_names, error.outcome);
     body += "\"}";
     return body;
 }
 
 } // namespace
 
-void refuse_request(gateway_state& self, http1::exchange_id exchange,
-                    std::string const& request_id, problem const& what)
+void refuse_request(gateway_state& state, http1::exchange_id exchange,
+                    std::string const& request_id, problem const& error)
 {
-    auto fields = platform::refusal_fields(request_id, what.retry_after);
+    auto fields = platform::refusal_fields(request_id, error.retry_after);
     fields.push_back({"Content-Type", "application/problem+json"});
-    self.log->write(what.outcome == verdict::not_run
-                        ? event_number::request_refused
-                        : event_number::request_failed,
-                    request_id,
-                    {{"status", what.status},
-                     {"verdict", to_name(verdict_names, what.outcome)},
-                     {"reason", to_name(what.why.code)},
-                     {"why", what.why.text},
-                     {"retry_after_ms",
-                      what.retry_after ? what.retry_after->count() : -1}});
-    self.callers->respond(exchange, what.status, fields, body_of(what));
+    state.log->write(error.outcome == verdict::not_run
+                         ? event_number::request_refused
+                         : event_number::request_failed,
+                     request_id,
+                     {{"status", error.status},
+                      {"verdict", to_name(verdict_names, error.outcome)},
+                      {"reason", to_name(error.why.code)},
+                      {"why", error.why.text},
+                      {"retry_after_ms",
+                       error.retry_after ? error.retry_after->count() : -1}});
+    state.caller_server->respond(exchange, error.status, fields,
+                                 body_of(error));
 }
 
 int status_of(verdict outcome, reason_code why) noexcept
--- a/jujubestand/gateway/answers.hpp
+++ b/jujubestand/gateway/answers.hpp
@@ -26,8 +26,8 @@
 inline constexpr int status_timeout = 504;
 
 /// \brief Responds with a failure before a response has started, and logs it.
-void refuse_request(gateway_state& self, http1::exchange_id exchange,
-                    std::string const& request_id, problem const& what);
+void refuse_request(gateway_state& state, http1::exchange_id exchange,
+                    std::string const& request_id, problem const& error);
 
 /// \brief Maps a verdict to an HTTP status: 503 only for calls that did not
 /// run.
--- a/jujubestand/gateway/beliefs.hpp
+++ b/jujubestand/gateway/beliefs.hpp
@@ -11,22 +11,22 @@
 
 /// \brief Applies operator records; a record that cannot be decoded is logged
 /// and ignored.
-void apply_operator_records(gateway_state& self,
+void apply_operator_records(gateway_state& state,
                             std::vector<follow::record> const& changes);
 
 /// \brief Applies upstream records.
-void apply_upstream_records(gateway_state& self,
+void apply_upstream_records(gateway_state& state,
                             std::vector<follow::record> const& changes);
 
 /// \brief Removes upstreams whose records have been absent for too long.
-void drop_lapsed(gateway_state& self);
+void remove_lapsed_upstreams(gateway_state& state);
 
 /// \brief Whether keys and routes are confirmed recent enough to accept
 /// requests; logs each change.
-[[nodiscard]] bool check_freshness(gateway_state& self, mono_time now);
+[[nodiscard]] bool check_freshness(gateway_state& state, mono_time now);
 
 /// \brief Whether the load balancer should route callers to this gateway.
-[[nodiscard]] bool is_ready(gateway_state& self, mono_time now);
+[[nodiscard]] bool is_ready(gateway_state& state, mono_time now);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/calls.cpp
+++ b/jujubestand/gateway/calls.cpp
@@ -34,39 +34,39 @@
 
 problem not_fresh()
 {
-    problem what;
-    what.why = reason{reason_code::tables_stale,
-                      "keys and routes are not confirmed current",
-                      {}};
-    what.retry_after = not_fresh_pause;
-    return what;
+    problem error;
+    error.why = reason{reason_code::tables_stale,
+                       "keys and routes are not confirmed current",
+                       {}};
+    error.retry_after = not_fresh_pause;
+    return error;
 }
 
 problem unknown(int status, reason_code code, char const* text)
 {
-    problem what;
-    what.status = status;
-    what.why = reason{code, text, {}};
-    return what;
+    problem error;
+    error.status = status;
+    error.why = reason{code, text, {}};
+    return error;
 }
 
 // Failure for an unknown key or route; only recent records can confirm that it
 // does not exist.
-problem unknown_or_stale(gateway_state const& self, problem const& what,
+problem unknown_or_stale(gateway_state const& state, problem const& error,
                          mono_time now)
 {
-    auto const age = follow::age(self.operator_topic->known(), now);
-    return age && *age <= unknown_age_limit ? what : not_fresh();
+    auto const age = follow::age(state.operator_topic->known(), now);
+    return age && *age <= unknown_age_limit ? error : not_fresh();
 }
 
-dispatch::call terms_of(live_call const& call, dispatch::call_key key,
+dispatch::call terms_of(active_call const& call, dispatch::call_key key,
                         std::string_view pool)
 {
     dispatch::call terms;
     terms.key = key;
     terms.pool = pool;
     if (call.route.has_prompts)
-        terms.asked = call.asked.asked;
+        terms.asked = call.caller_request.asked;
     terms.cache_owner =
         call.team.is_isolated ? "team " + call.team.name : "all";
     terms.priority = call.team.priority.value_or(call.route.priority);
@@ -78,95 +78,98 @@
 
 problem stopping()
 {
-    problem what;
-    what.why = reason{reason_code::draining, "gateway is draining", {}};
-    what.retry_after = stopping_pause;
-    return what;
+    problem error;
+    error.why = reason{reason_code::draining, "gateway is draining", {}};
+    error.retry_after = stopping_pause;
+    return error;
 }
 
 // The load balancer may route callers here until the process ends. Calls that
 // the end could cut off are rejected before they run. The queueing time of a
 // prompt at an engine is unknown, so prompts are not accepted late in a drain.
-bool ends_before_stop(gateway_state const& self, live_call const& call)
+bool ends_before_stop(gateway_state const& state, active_call const& call)
 {
-    if (!self.is_stopping)
+    if (!state.is_draining)
         return true;
-    auto const since = call.arrived_at - self.stopping_since;
+    auto const since = call.arrived_at - state.drain_started_at;
     if (since < stop_free_time)
         return true;
-    auto const left = self.settings.limits.stop_grace - since;
-    return !call.terms.asked && left > plain_call_time;
+    auto const left = state.settings.limits.stop_grace - since;
+    return !call.dispatch_call.asked && left > plain_call_time;
 }
 
-void take_in(gateway_state& self, live_call call)
+void accept_call(gateway_state& state, active_call call)
 {
-    auto const key = ++self.last_call;
-    auto const pool = traffic::choose_pool(call.route, self.draw());
-    call.terms = terms_of(call, key, pool);
-    retries::take_request(self.budgets[call.terms.pool], retry_options_of(self),
-                          call.arrived_at);
-    retries::take_request(self.rescues[call.terms.pool],
-                          rescue_options_of(self), call.arrived_at);
-    self.log->write(
-        event_number::request_accepted, call.asked.request_id,
+    auto const key = ++state.last_call_key;
+    auto const pool = traffic::choose_pool(call.route, state.random_engine());
+    call.dispatch_call = terms_of(call, key, pool);
+    retries::take_request(state.retry_budgets[call.dispatch_call.pool],
+                          retry_options_of(state), call.arrived_at);
+    retries::take_request(state.started_retry_budgets[call.dispatch_call.pool],
+                          started_retry_options_of(state), call.arrived_at);
+    state.log->write(
+        event_number::request_accepted, call.caller_request.request_id,
         {{"route", call.route.name},
          {"team", call.team.name},
          {"left_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
                          call.deadline - call.arrived_at)
                          .count()}});
-    if (!ends_before_stop(self, call))
+    if (!ends_before_stop(state, call))
     {
-        refuse_request(self, call.exchange, call.asked.request_id, stopping());
+        refuse_request(state, call.exchange, call.caller_request.request_id,
+                       stopping());
         return;
     }
-    self.by_exchange[call.exchange] = key;
-    auto const terms = call.terms;
-    self.live.emplace(key, std::move(call));
-    auto const made = dispatch::submit(self.dispatch, terms, mono_now());
-    apply(self, made);
-    plan_review(self);
+    state.call_by_exchange[call.exchange] = key;
+    auto const terms = call.dispatch_call;
+    state.active_calls.emplace(key, std::move(call));
+    auto const dispatch_decision =
+        dispatch::submit(state.dispatch, terms, mono_now());
+    apply_decision(state, dispatch_decision);
+    schedule_review(state);
 }
 
 } // namespace
 
-void on_request(gateway_state& self, http1::exchange_id exchange,
+void on_request(gateway_state& state, http1::exchange_id exchange,
                 http1::server_request request)
 {
     if (platform::is_readiness_question(request.head))
     {
-        bool const ready = is_ready(self, mono_now());
-        self.callers->respond(exchange, ready ? 200 : status_unavailable, {},
-                              {});
+        bool const ready = is_ready(state, mono_now());
+        state.caller_server->respond(exchange, ready ? 200 : status_unavailable,
+                                     {}, {});
         return;
     }
-    live_call call;
+    active_call call;
     call.exchange = exchange;
     call.arrived_at = mono_now();
-    call.asked = platform::read_call(std::move(request));
-    auto const& id = call.asked.request_id;
-    if (!check_freshness(self, call.arrived_at))
+    call.caller_request = platform::read_call(std::move(request));
+    auto const& id = call.caller_request.request_id;
+    if (!check_freshness(state, call.arrived_at))
     {
-        refuse_request(self, exchange, id, not_fresh());
+        refuse_request(state, exchange, id, not_fresh());
         return;
     }
-    auto const* const route =
-        traffic::find_route(*self.tables, call.asked.host, call.asked.path);
+    auto const* const route = traffic::find_route(
+        *state.tables, call.caller_request.host, call.caller_request.path);
     if (route == nullptr)
     {
-        refuse_request(self, exchange, id,
-                       unknown_or_stale(self,
+        refuse_request(state, exchange, id,
+                       unknown_or_stale(state,
                                         unknown(status_not_found,
                                                 reason_code::unknown_route,
                                                 "no matching route"),
                                         call.arrived_at));
         return;
     }
-    auto const* const team = traffic::find_team(*self.tables, call.asked.key);
-    bool const needs_key = !route->is_public && !self.tables->teams.empty();
+    auto const* const team =
+        traffic::find_team(*state.tables, call.caller_request.key);
+    bool const needs_key = !route->is_public && !state.tables->teams.empty();
     if (needs_key && team == nullptr)
     {
-        refuse_request(self, exchange, id,
-                       unknown_or_stale(self,
+        refuse_request(state, exchange, id,
+                       unknown_or_stale(state,
                                         unknown(status_unauthorized,
                                                 reason_code::unknown_team,
                                                 "unknown API key"),
@@ -178,43 +181,46 @@
         call.team = *team;
     call.deadline =
         call.arrived_at +
-        std::min(call.asked.time_left.value_or(route->timeout), route->timeout);
-    take_in(self, std::move(call));
+        std::min(call.caller_request.time_left.value_or(route->timeout),
+                 route->timeout);
+    accept_call(state, std::move(call));
 }
 
-void on_caller_gone(gateway_state& self, http1::exchange_id exchange)
+void on_caller_disconnected(gateway_state& state, http1::exchange_id exchange)
 {
-    auto const found = self.by_exchange.find(exchange);
-    if (found == self.by_exchange.end())
+    auto const found = state.call_by_exchange.find(exchange);
+    if (found == state.call_by_exchange.end())
         return;
     auto const key = found->second;
-    auto const& call = self.live.at(key);
-    self.log->write(event_number::caller_closed, call.asked.request_id,
-                    {{"upstream", call.upstream}});
-    self.upstreams->cancel(call.send);
-    dispatch::on_send_end(self.dispatch, key, dispatch::send_outcome::cancelled,
-                          mono_now());
-    dispatch::forget(self.dispatch, key);
-    end_call(self, key);
+    auto const& call = state.active_calls.at(key);
+    state.log->write(event_number::caller_closed,
+                     call.caller_request.request_id,
+                     {{"upstream", call.upstream}});
+    state.upstream_client->cancel(call.upstream_call);
+    dispatch::on_send_end(state.dispatch, key,
+                          dispatch::send_outcome::cancelled, mono_now());
+    dispatch::forget(state.dispatch, key);
+    end_call(state, key);
 }
 
 // Agents send hundreds of status datagrams per second; a review for each would
 // use all CPU time of a small gateway.
-void plan_review(gateway_state& self)
+void schedule_review(gateway_state& state)
 {
-    if (self.is_review_planned || self.dispatch.waiting.empty())
+    if (state.is_review_scheduled || state.dispatch.waiting.empty())
         return;
-    self.is_review_planned = true;
-    self.review_timer->start(review_interval);
+    state.is_review_scheduled = true;
+    state.review_timer->start(review_interval);
 }
 
-void review_waiting(gateway_state& self)
+void review_waiting(gateway_state& state)
 {
-    if (self.dispatch.waiting.empty())
+    if (state.dispatch.waiting.empty())
         return;
-    for (auto const& made : dispatch::review(self.dispatch, mono_now()))
-        apply(self, made);
-    plan_review(self);
+    for (auto const& dispatch_decision :
+         dispatch::review(state.dispatch, mono_now()))
+        apply_decision(state, dispatch_decision);
+    schedule_review(state);
 }
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/calls.hpp
+++ b/jujubestand/gateway/calls.hpp
@@ -8,19 +8,19 @@
 {
 
 /// \brief Handles a completely received caller request.
-void on_request(gateway_state& self, http1::exchange_id exchange,
+void on_request(gateway_state& state, http1::exchange_id exchange,
                 http1::server_request request);
 
 /// \brief Handles a caller that disconnected before its response was
 /// complete.
-void on_caller_gone(gateway_state& self, http1::exchange_id exchange);
+void on_caller_disconnected(gateway_state& state, http1::exchange_id exchange);
 
 /// \brief Schedules a review of the waiting calls unless one is already
 /// scheduled.
-void plan_review(gateway_state& self);
+void schedule_review(gateway_state& state);
 
 /// \brief Re-evaluates the dispatch decision of all waiting calls.
-void review_waiting(gateway_state& self);
+void review_waiting(gateway_state& state);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/event_stream.cpp
+++ b/jujubestand/gateway/event_stream.cpp
@@ -76,7 +76,7 @@
     return passed;
 }
 
-void on_continued(event_stream& state)
+void discard_partial_event(event_stream& state)
 {
     state.partial.clear();
 }
--- a/jujubestand/gateway/event_stream.hpp
+++ b/jujubestand/gateway/event_stream.hpp
@@ -27,7 +27,7 @@
 
 /// \brief Discards the incomplete event before the stream resumes in another
 /// response.
-void on_continued(event_stream& state);
+void discard_partial_event(event_stream& state);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/gateway.cpp
+++ b/jujubestand/gateway/gateway.cpp
@@ -27,103 +27,103 @@
 /// Part of the grace period reserved for an orderly shutdown.
 constexpr std::chrono::milliseconds stop_margin{400};
 
-void log_store(gateway_state& self, char const* topic, reason const* why)
+void log_store(gateway_state& state, char const* topic, reason const* why)
 {
     if (why != nullptr)
-        self.log->write(event_number::log_unreachable, {},
-                        {{"topic", topic}, {"why", to_text(*why)}});
+        state.log->write(event_number::log_unreachable, {},
+                         {{"topic", topic}, {"why", to_text(*why)}});
     else
-        self.log->write(event_number::log_reachable, {}, {{"topic", topic}});
+        state.log->write(event_number::log_reachable, {}, {{"topic", topic}});
 }
 
 follow::follower_events follower_events_of(
-    gateway_state& self, char const* topic,
+    gateway_state& state, char const* topic,
     void (*apply)(gateway_state&, std::vector<follow::record> const&))
 {
     follow::follower_events events;
-    events.on_changes = [&self, apply](std::vector<follow::record> const& rows)
+    events.on_changes = [&state, apply](std::vector<follow::record> const& rows)
     {
-        apply(self, rows);
-        review_waiting(self);
+        apply(state, rows);
+        review_waiting(state);
     };
-    events.on_unreachable = [&self, topic](reason const& why)
+    events.on_unreachable = [&state, topic](reason const& why)
     {
-        log_store(self, topic, &why);
+        log_store(state, topic, &why);
     };
-    events.on_expired = [&self, topic](reason const& why)
+    events.on_expired = [&state, topic](reason const& why)
     {
-        self.log->write(event_number::log_gap, {},
-                        {{"topic", topic}, {"why", to_text(why)}});
+        state.log->write(event_number::log_gap, {},
+                         {{"topic", topic}, {"why", to_text(why)}});
     };
-    events.on_reachable = [&self, topic]
+    events.on_reachable = [&state, topic]
     {
-        log_store(self, topic, nullptr);
+        log_store(state, topic, nullptr);
     };
     return events;
 }
 
-void make_clients(gateway_state& self)
+void make_clients(gateway_state& state)
 {
-    self.calls = std::make_unique<http1::client>(self.base);
-    self.upstreams = std::make_unique<http1::client>(self.base);
-    self.store =
-        std::make_unique<platform::store>(*self.calls, self.settings.store);
-    self.operator_topic = std::make_unique<follow::follower>(
-        self.base, *self.store,
+    state.internal_client = std::make_unique<http1::client>(state.base);
+    state.upstream_client = std::make_unique<http1::client>(state.base);
+    state.store = std::make_unique<platform::store>(*state.internal_client,
+                                                    state.settings.store);
+    state.operator_topic = std::make_unique<follow::follower>(
+        state.base, *state.store,
         follow::reading{std::string(platform::names::operator_topic),
-                        operator_wait, std::chrono::milliseconds{0}},
-        follower_events_of(self, "operator", apply_operator_records));
-    self.upstream_topic = std::make_unique<follow::follower>(
-        self.base, *self.store,
+                        operator_poll_timeout, std::chrono::milliseconds{0}},
+        follower_events_of(state, "operator", apply_operator_records));
+    state.upstream_topic = std::make_unique<follow::follower>(
+        state.base, *state.store,
         follow::reading{std::string(platform::names::upstream_topic),
                         std::chrono::milliseconds{0}, upstream_pause},
-        follower_events_of(self, "upstreams", apply_upstream_records));
-    self.datagrams = std::make_unique<loop::datagrams>(
-        self.base,
-        [&self](address const& from, std::string_view bytes)
+        follower_events_of(state, "upstreams", apply_upstream_records));
+    state.datagrams = std::make_unique<loop::datagrams>(
+        state.base,
+        [&state](address const& from, std::string_view bytes)
         {
-            on_agent_answer(self, from, bytes);
-            on_peer_datagram(self, from, bytes);
+            on_agent_datagram(state, from, bytes);
+            on_peer_datagram(state, from, bytes);
         });
 }
 
-void make_servers(gateway_state& self)
+void make_servers(gateway_state& state)
 {
     http1::server_events events;
     events.on_request =
-        [&self](http1::exchange_id exchange, http1::server_request request)
+        [&state](http1::exchange_id exchange, http1::server_request request)
     {
-        on_request(self, exchange, std::move(request));
+        on_request(state, exchange, std::move(request));
     };
-    events.on_gone = [&self](http1::exchange_id exchange)
+    events.on_gone = [&state](http1::exchange_id exchange)
     {
-        on_caller_gone(self, exchange);
+        on_caller_disconnected(state, exchange);
     };
-    self.callers = std::make_unique<http1::server>(self.base, events);
+    state.caller_server = std::make_unique<http1::server>(state.base, events);
     http1::server_events ready;
     ready.on_request =
-        [&self](http1::exchange_id exchange, http1::server_request const&)
+        [&state](http1::exchange_id exchange, http1::server_request const&)
     {
         constexpr int ok = 200;
         constexpr int unavailable = 503;
-        self.readiness->respond(
-            exchange, is_ready(self, mono_now()) ? ok : unavailable, {}, {});
+        state.readiness_server->respond(
+            exchange, is_ready(state, mono_now()) ? ok : unavailable, {}, {});
     };
     ready.on_gone = [](http1::exchange_id) {};
-    self.readiness = std::make_unique<http1::server>(self.base, ready);
+    state.readiness_server = std::make_unique<http1::server>(state.base, ready);
     http1::server_events records;
-    records.on_request = [&self](http1::exchange_id exchange,
-                                 http1::server_request const& request)
+    records.on_request = [&state](http1::exchange_id exchange,
+                                  http1::server_request const& request)
     {
-        on_records_request(self, exchange, request);
+        on_records_request(state, exchange, request);
     };
     records.on_gone = [](http1::exchange_id) {};
-    self.records = std::make_unique<http1::server>(self.base, records);
+    state.records_server = std::make_unique<http1::server>(state.base, records);
 }
 
-bool listen(gateway_state& self, reason& why)
+bool listen(gateway_state& state, reason& why)
 {
-    auto const& settings = self.settings;
+    auto const& settings = state.settings;
     if (!settings.callers)
     {
         why = reason{
@@ -131,72 +131,74 @@
         return false;
     }
     address const own{settings.ip, settings.internal_port};
-    return self.callers->listen(*settings.callers, why) &&
+    return state.caller_server->listen(*settings.callers, why) &&
            (!settings.readiness ||
-            self.readiness->listen(*settings.readiness, why)) &&
-           self.datagrams->bind(own, why) && self.records->listen(own, why);
+            state.readiness_server->listen(*settings.readiness, why)) &&
+           state.datagrams->bind(own, why) &&
+           state.records_server->listen(own, why);
 }
 
 // Runs on a timer, since record age, lapses and deadlines change without any
 // event.
-void on_tick(gateway_state& self)
+void on_tick(gateway_state& state)
 {
     auto const now = mono_now();
-    auto const age = follow::age(self.upstream_topic->known(), now);
-    if (age && *age < self.lapses.limits.outage_min)
-        follow::on_store_answer(self.lapses, now);
+    auto const age = follow::age(state.upstream_topic->known(), now);
+    if (age && *age < state.lapses.limits.outage_min)
+        follow::on_store_answer(state.lapses, now);
     else
-        follow::on_store_failure(self.lapses, now);
-    drop_lapsed(self);
-    review_suspended(self);
-    ask_agents(self);
-    ask_peers(self);
+        follow::on_store_failure(state.lapses, now);
+    remove_lapsed_upstreams(state);
+    review_suspended_calls(state);
+    query_agents(state);
+    query_peers(state);
 }
 
-void begin_stop(gateway_state& self)
+void begin_stop(gateway_state& state)
 {
-    if (self.is_stopping)
+    if (state.is_draining)
         return;
-    self.is_stopping = true;
-    self.stopping_since = mono_now();
-    self.log->write(
+    state.is_draining = true;
+    state.drain_started_at = mono_now();
+    state.log->write(
         event_number::drain_started, {},
-        {{"open_calls", static_cast<std::int64_t>(self.live.size())}});
-    self.callers->drain();
-    self.stop_timer->start_every(stop_check_interval);
+        {{"open_calls", static_cast<std::int64_t>(state.active_calls.size())}});
+    state.caller_server->drain();
+    state.stop_timer->start_every(stop_check_interval);
 }
 
-void check_stop(gateway_state& self)
+void check_stop(gateway_state& state)
 {
-    auto const since = mono_now() - self.stopping_since;
-    bool const is_idle = self.callers->busy() == 0 && since >= stop_notice;
+    auto const since = mono_now() - state.drain_started_at;
+    bool const is_idle =
+        state.caller_server->busy() == 0 && since >= stop_notice;
     // Two idle checks in a row: connections that were pending at the listener
     // during the first check are counted as busy by the second.
-    bool const is_done = is_idle && self.was_idle;
-    self.was_idle = is_idle;
-    if (is_done || since >= self.settings.limits.stop_grace - stop_margin)
-        event_base_loopbreak(self.base);
+    bool const is_done = is_idle && state.was_idle;
+    state.was_idle = is_idle;
+    if (is_done || since >= state.settings.limits.stop_grace - stop_margin)
+        event_base_loopbreak(state.base);
 }
 
-void start_timers(gateway_state& self)
+void start_timers(gateway_state& state)
 {
-    self.tick_timer.emplace(self.base,
-                            [&self]
-                            {
-                                on_tick(self);
-                            });
-    self.tick_timer->start_every(tick_interval);
-    self.review_timer.emplace(self.base,
-                              [&self]
-                              {
-                                  self.is_review_planned = false;
-                                  review_waiting(self);
-                              });
-    self.stop_timer.emplace(self.base,
-                            [&self]
-                            {
-                                check_stop(self);
-                            });
+    state.tick_timer.emplace(state.base,
+                             [&state]
+                             {
+                                 on_tick(state);
+                             });
+    state.tick_timer->start_every(tick_interval);
+    state.review_timer.emplace(state.base,
+                               [&state]
+                               {
+                                   state.is_review_scheduled = false;
+                                   review_waiting(state);
+                               });
+    state.stop_timer.emplace(state.base,
+                             [&state]
+                             {
+                                 check_stop(state);
+                             });
 }
 
 } // namespace
@@ -205,40 +207,40 @@
 {
     auto* const base = event_base_new();
     logs::log log(STDOUT_FILENO);
-    gateway_state self;
-    self.base = base;
-    self.log = &log;
-    self.settings = std::move(settings);
-    self.dispatch.data_center = self.settings.data_center;
+    gateway_state state;
+    state.base = base;
+    state.log = &log;
+    state.settings = std::move(settings);
+    state.dispatch.data_center = state.settings.data_center;
     constexpr std::chrono::milliseconds weights_margin{1'200};
-    self.dispatch.limits.weights_lag =
-        self.settings.limits.weights_lag - weights_margin;
-    self.started_at = mono_now();
-    self.draw.seed(std::random_device{}());
-    make_clients(self);
-    make_servers(self);
+    state.dispatch.limits.weights_lag =
+        state.settings.limits.weights_lag - weights_margin;
+    state.started_at = mono_now();
+    state.random_engine.seed(std::random_device{}());
+    make_clients(state);
+    make_servers(state);
     reason why;
-    if (!listen(self, why))
+    if (!listen(state, why))
     {
         log.write(event_number::settings_refused, {}, {{"why", to_text(why)}});
         return process::exit_code::failed;
     }
     loop::signals const signals(
         base, {{SIGTERM,
-                [&self]
+                [&state]
                 {
-                    begin_stop(self);
+                    begin_stop(state);
                 }},
                {SIGHUP, [&log]
                 {
                     log.write(event_number::settings_reloaded, {}, {});
                 }}});
-    start_timers(self);
+    start_timers(state);
     log.write(event_number::process_started, {},
-              {{"role", "gateway"}, {"name", self.settings.name}});
-    ask_peers(self);
+              {{"role", "gateway"}, {"name", state.settings.name}});
+    query_peers(state);
     event_base_dispatch(base);
-    auto const cut = static_cast<std::int64_t>(self.live.size());
+    auto const cut = static_cast<std::int64_t>(state.active_calls.size());
     log.write(cut == 0 ? event_number::drain_finished : event_number::drain_cut,
               {}, {{"open_calls", cut}});
     return cut == 0 ? process::exit_code::stopped
--- a/jujubestand/gateway/moves.cpp
+++ b/jujubestand/gateway/moves.cpp
@@ -12,48 +12,48 @@
 {
 
 // Migrations leave half of the retry budget to failed attempts.
-bool can_afford_move(gateway_state& self, live_call const& call)
+bool can_afford_move(gateway_state& state, active_call const& call)
 {
-    return self.budgets[call.terms.pool].saved >=
-           retry_options_of(self).budget_limit / 2;
+    return state.retry_budgets[call.dispatch_call.pool].saved >=
+           retry_options_of(state).budget_limit / 2;
 }
 
-void move_stream(gateway_state& self, dispatch::call_key key)
+void move_stream(gateway_state& state, dispatch::call_key key)
 {
-    live_call* const call = find_call(self, key);
+    active_call* const call = find_call(state, key);
     auto const now = mono_now();
-    bool const is_movable = call != nullptr && !self.is_stopping &&
+    bool const is_movable = call != nullptr && !state.is_draining &&
                             call->route.kind == traffic::call_kind::stream &&
-                            may_repeat(*call);
+                            is_retryable(*call);
     if (!is_movable ||
-        !dispatch::has_alternative(self.dispatch, call->terms,
+        !dispatch::has_alternative(state.dispatch, call->dispatch_call,
                                    call->upstream_key, now) ||
-        call->runs + 1 >= call->route.attempts_limit ||
-        !can_afford_move(self, *call) ||
-        why_not_again(self, *call, dispatch::send_outcome::cancelled, now) !=
+        call->possible_runs + 1 >= call->route.attempts_limit ||
+        !can_afford_move(state, *call) ||
+        acquire_retry(state, *call, dispatch::send_outcome::cancelled, now) !=
             reason_code::none)
         return;
-    self.upstreams->cancel(call->send);
-    call->send = http1::call_id{};
+    state.upstream_client->cancel(call->upstream_call);
+    call->upstream_call = http1::call_id{};
     call->outcome = worst(call->outcome, verdict::may_have_run);
-    count_run(*call);
-    dispatch::on_send_end(self.dispatch, key, dispatch::send_outcome::cancelled,
-                          now);
-    send_again(self, key);
+    count_possible_run(*call);
+    dispatch::on_send_end(state.dispatch, key,
+                          dispatch::send_outcome::cancelled, now);
+    retry_call(state, key);
 }
 
 } // namespace
 
-void move_streams(gateway_state& self, dispatch::upstream_key from)
+void migrate_streams(gateway_state& state, dispatch::upstream_key from)
 {
     std::vector<dispatch::call_key> moved;
-    for (auto const& [key, sent] : self.dispatch.sends)
+    for (auto const& [key, attempt] : state.dispatch.sends)
     {
-        if (sent.upstream == from)
+        if (attempt.upstream == from)
             moved.push_back(key);
     }
     for (auto const key : moved)
-        move_stream(self, key);
+        move_stream(state, key);
 }
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/moves.hpp
+++ b/jujubestand/gateway/moves.hpp
@@ -9,7 +9,7 @@
 
 /// \brief Migrates resumable streams away from an engine that is about to load
 /// weights, since the load waits for every call running on the engine.
-void move_streams(gateway_state& self, dispatch::upstream_key from);
+void migrate_streams(gateway_state& state, dispatch::upstream_key from);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/part_stores.cpp
+++ b/jujubestand/gateway/part_stores.cpp
@@ -14,14 +14,14 @@
 constexpr std::chrono::milliseconds events_timeout{1'600};
 constexpr std::chrono::milliseconds pause_after_failure{400};
 
-void tell_dispatch(gateway_state& self, std::string const& name,
-                   watched_store const& watched)
+void update_dispatch(gateway_state& state, std::string const& name,
+                     watched_store const& watched)
 {
-    for (auto& store : self.dispatch.stores)
+    for (auto& store : state.dispatch.stores)
     {
         if (to_text(store.where) != name)
             continue;
-        store.is_alive = watched.is_alive;
+        store.is_alive = watched.is_reachable;
         status::on_delta(store.cache,
                          status::delta_since(watched.cache, store.cache.mark));
     }
@@ -30,54 +30,55 @@
 // After lost events some cached parts are unknown to the gateway. They are not
 // listed, since a listing would block the store; they reappear with their next
 // use.
-void on_events(gateway_state& self, std::string const& name,
+void on_events(gateway_state& state, std::string const& name,
                std::optional<std::string> const& body)
 {
-    auto& watched = self.watched_stores[name];
-    watched.is_asking = false;
+    auto& watched = state.watched_stores[name];
+    watched.is_poll_in_flight = false;
     reason why;
     auto const events = platform::decode_cache_events(body.value_or(""), why);
-    bool const was_alive = watched.is_alive;
-    watched.is_alive = events.has_value();
-    if (watched.is_alive)
+    bool const was_alive = watched.is_reachable;
+    watched.is_reachable = events.has_value();
+    if (watched.is_reachable)
         status::on_events(watched.cache, *events);
     else
-        watched.next_at = mono_now() + pause_after_failure;
-    if (was_alive != watched.is_alive)
-        self.log->write(watched.is_alive ? event_number::engine_reachable
-                                         : event_number::engine_unreachable,
-                        {}, {{"part_store", name}, {"why", to_text(why)}});
-    tell_dispatch(self, name, watched);
+        watched.next_poll_at = mono_now() + pause_after_failure;
+    if (was_alive != watched.is_reachable)
+        state.log->write(watched.is_reachable
+                             ? event_number::engine_reachable
+                             : event_number::engine_unreachable,
+                         {}, {{"part_store", name}, {"why", to_text(why)}});
+    update_dispatch(state, name, watched);
 }
 
-void ask_events(gateway_state& self, address const& where)
+void request_events(gateway_state& state, address const& where)
 {
     auto const name = to_text(where);
-    auto& watched = self.watched_stores[name];
+    auto& watched = state.watched_stores[name];
     if (watched.cache.generation == 0)
         status::begin(
             watched.cache,
             static_cast<std::uint64_t>(wall_now().time_since_epoch().count()));
-    watched.is_asking = true;
+    watched.is_poll_in_flight = true;
     auto request =
         platform::cache_events_request(where, watched.cache.next, events_wait);
     request.timeout = events_timeout;
-    http1::ask_for_text(*self.calls, std::move(request),
-                        [&self, name](std::optional<std::string> const& body)
+    http1::ask_for_text(*state.internal_client, std::move(request),
+                        [&state, name](std::optional<std::string> const& body)
                         {
-                            on_events(self, name, body);
+                            on_events(state, name, body);
                         });
 }
 
 } // namespace
 
-void watch_stores(gateway_state& self, mono_time now)
+void poll_part_stores(gateway_state& state, mono_time now)
 {
-    for (auto const& store : self.dispatch.stores)
+    for (auto const& store : state.dispatch.stores)
     {
-        auto const& watched = self.watched_stores[to_text(store.where)];
-        if (!watched.is_asking && now >= watched.next_at)
-            ask_events(self, store.where);
+        auto const& watched = state.watched_stores[to_text(store.where)];
+        if (!watched.is_poll_in_flight && now >= watched.next_poll_at)
+            request_events(state, store.where);
     }
 }
 
--- a/jujubestand/gateway/part_stores.hpp
+++ b/jujubestand/gateway/part_stores.hpp
@@ -9,7 +9,7 @@
 
 /// \brief Polls the events of every store. Called on the gateways that read
 /// for the others.
-void watch_stores(gateway_state& self, mono_time now);
+void poll_part_stores(gateway_state& state, mono_time now);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/peers.cpp
+++ b/jujubestand/gateway/peers.cpp
@@ -14,30 +14,31 @@
 {
 
 /// Number of gateways that read the store in normal operation.
-constexpr std::size_t readers = 2;
+constexpr std::size_t reader_count = 2;
 
 /// Record age above which a gateway reads the store directly.
 constexpr std::chrono::milliseconds lag_limit{1'300};
 
 // A confirmation is dated from the start of its long poll and is used until the
 // next one arrives: too long a poll would make all gateways read the store.
-static_assert(2 * operator_wait + 2 * tick_interval < lag_limit);
+static_assert(2 * operator_poll_timeout + 2 * tick_interval < lag_limit);
 constexpr std::chrono::milliseconds fetch_timeout{800};
 
 // IP addresses of the gateways that read the store.
-std::vector<std::string> readers_of(gateway_state const& self)
+std::vector<std::string> readers_of(gateway_state const& state)
 {
-    auto const count = std::min(readers, self.peers.size());
-    return {self.peers.begin(),
-            self.peers.begin() + static_cast<std::ptrdiff_t>(count)};
+    auto const count = std::min(reader_count, state.gateway_hosts.size());
+    return {state.gateway_hosts.begin(),
+            state.gateway_hosts.begin() + static_cast<std::ptrdiff_t>(count)};
 }
 
-bool is_reader(gateway_state const& self)
+bool is_reader(gateway_state const& state)
 {
-    auto const begin = self.peers.begin();
-    auto const found = std::find(begin, self.peers.end(), self.settings.ip);
-    return found == self.peers.end() ||
-           static_cast<std::size_t>(found - begin) < readers;
+    auto const begin = state.gateway_hosts.begin();
+    auto const found =
+        std::find(begin, state.gateway_hosts.end(), state.settings.ip);
+    return found == state.gateway_hosts.end() ||
+           static_cast<std::size_t>(found - begin) < reader_count;
 }
 
 bool is_lagging(follow::follower const& topic, mono_time now)
@@ -56,10 +57,10 @@
     return result;
 }
 
-void take_standing(gateway_state& self, std::string const& host,
-                   follow::follower& topic, char const* path,
-                   status::topic_standing const& standing,
-                   std::int64_t asked_at_us)
+void apply_standing(gateway_state& state, std::string const& host,
+                    follow::follower& topic, char const* path,
+                    status::topic_standing const& standing,
+                    std::int64_t asked_at_us)
 {
     if (standing.proof_age_us < 0)
         return;
@@ -69,61 +70,61 @@
     bool const lacks_removals = standing.end == known.next &&
                                 standing.live_keys != follow::live_keys(known);
     if (lacks_removals)
-        fetch_records(self, host, topic, path, 0, proven_at);
+        fetch_records(state, host, topic, path, 0, proven_at);
     else if (!known.is_listed || standing.end > known.next)
-        fetch_records(self, host, topic, path, known.is_listed ? known.next : 0,
-                      proven_at);
+        fetch_records(state, host, topic, path,
+                      known.is_listed ? known.next : 0, proven_at);
     else
         topic.vouch(standing.end, proven_at);
 }
 
-void take_stores(gateway_state& self, std::string const& host,
-                 status::peer_answer const& from)
+void apply_reported_stores(gateway_state& state, std::string const& host,
+                           status::peer_answer const& from)
 {
-    if (is_reader(self) || host != self.stores_from.host)
+    if (is_reader(state) || host != state.part_store_reader.host)
         return;
-    self.stores_from.heard_at = mono_now();
-    for (auto& store : self.dispatch.stores)
+    state.part_store_reader.last_answer_at = mono_now();
+    for (auto& store : state.dispatch.stores)
     {
-        auto const told = from.stores.find(to_text(store.where));
-        if (told == from.stores.end())
+        auto const reported = from.stores.find(to_text(store.where));
+        if (reported == from.stores.end())
             continue;
-        store.is_alive = told->second.is_alive;
-        status::on_delta(store.cache, told->second.cache);
+        store.is_alive = reported->second.is_alive;
+        status::on_delta(store.cache, reported->second.cache);
     }
 }
 
 std::map<std::string, status::cache_mark>
-known_stores(gateway_state const& self)
+known_stores(gateway_state const& state)
 {
     std::map<std::string, status::cache_mark> known;
-    for (auto const& store : self.dispatch.stores)
+    for (auto const& store : state.dispatch.stores)
         known[to_text(store.where)] = store.cache.mark;
     return known;
 }
 
-void on_question(gateway_state& self, address const& from,
-                 status::peer_question const& asked)
+void on_peer_query(gateway_state& state, address const& from,
+                   status::peer_question const& peer_query)
 {
     auto const now = mono_now();
     status::peer_answer answer;
-    answer.asked_at_us = asked.asked_at_us;
-    answer.operators = standing_of(*self.operator_topic, now);
-    answer.upstreams = standing_of(*self.upstream_topic, now);
-    for (auto const& [where, known] : asked.stores)
+    answer.asked_at_us = peer_query.asked_at_us;
+    answer.operators = standing_of(*state.operator_topic, now);
+    answer.upstreams = standing_of(*state.upstream_topic, now);
+    for (auto const& [where, known] : peer_query.stores)
     {
-        auto const watched = self.watched_stores.find(where);
-        if (watched != self.watched_stores.end() && is_reader(self))
+        auto const watched = state.watched_stores.find(where);
+        if (watched != state.watched_stores.end() && is_reader(state))
             answer.stores[where] = {
-                watched->second.is_alive,
+                watched->second.is_reachable,
                 status::delta_since(watched->second.cache, known)};
     }
-    self.datagrams->send(from, status::to_datagram(answer));
+    state.datagrams->send(from, status::to_datagram(answer));
 }
 
-void take_records(gateway_state& self, follow::follower& topic,
-                  std::string const& bytes, std::uint64_t since,
-                  mono_time proven_at)
+void apply_fetched_records(gateway_state& state, follow::follower& topic,
+                           std::string const& bytes, std::uint64_t since,
+                           mono_time proven_at)
 {
     try
     {
@@ -132,81 +133,85 @@
     }
     catch (std::exception const& error)
     {
-        self.log->write(event_number::record_rejected, {},
-                        {{"key", "peer"}, {"why", error.what()}});
+        state.log->write(event_number::record_rejected, {},
+                         {{"key", "peer"}, {"why", error.what()}});
     }
 }
 
 } // namespace
 
-void fetch_records(gateway_state& self, std::string const& host,
+void fetch_records(gateway_state& state, std::string const& host,
                    follow::follower& topic, std::string const& path,
                    std::uint64_t since, mono_time proven_at)
 {
-    if (!self.fetching.insert(path).second)
+    if (!state.fetches_in_flight.insert(path).second)
         return;
     http1::client_request request;
-    request.server = address{host, self.settings.internal_port};
+    request.server = address{host, state.settings.internal_port};
     request.target = path + "?since=" + std::to_string(since);
     request.fields = {{"Host", to_text(request.server)}};
     request.timeout = fetch_timeout;
-    http1::ask_for_text(*self.calls, std::move(request),
-                        [&self, &topic, path, since,
+    http1::ask_for_text(*state.internal_client, std::move(request),
+                        [&state, &topic, path, since,
                          proven_at](std::optional<std::string> const& body)
                         {
-                            self.fetching.erase(path);
+                            state.fetches_in_flight.erase(path);
                             if (body)
-                                take_records(self, topic, *body, since,
-                                             proven_at);
+                                apply_fetched_records(state, topic, *body,
+                                                      since, proven_at);
                         });
 }
 
-void ask_peers(gateway_state& self)
+void query_peers(gateway_state& state)
 {
     auto const now = mono_now();
-    bool const reads = is_reader(self);
-    self.operator_topic->set_active(reads ||
-                                    is_lagging(*self.operator_topic, now));
-    self.upstream_topic->set_active(reads ||
-                                    is_lagging(*self.upstream_topic, now));
+    bool const reads = is_reader(state);
+    state.operator_topic->set_active(reads ||
+                                     is_lagging(*state.operator_topic, now));
+    state.upstream_topic->set_active(reads ||
+                                     is_lagging(*state.upstream_topic, now));
     status::peer_question question;
     question.asked_at_us = to_us(now);
     if (reads)
-        watch_stores(self, now);
+        poll_part_stores(state, now);
     else
-        follow_reader(self.stores_from, readers_of(self), now);
-    for (auto const& host : readers_of(self))
+        update_followed_reader(state.part_store_reader, readers_of(state), now);
+    for (auto const& host : readers_of(state))
     {
-        if (host == self.settings.ip || !may_ask(self.questions, host, now))
+        if (host == state.settings.ip ||
+            !begin_query(state.status_queries, host, now))
             continue;
-        question.stores = reads || host != self.stores_from.host
+        question.stores = reads || host != state.part_store_reader.host
                               ? std::map<std::string, status::cache_mark>{}
-                              : known_stores(self);
-        self.datagrams->send(address{host, self.settings.internal_port},
-                             status::to_datagram(question));
+                              : known_stores(state);
+        state.datagrams->send(address{host, state.settings.internal_port},
+                              status::to_datagram(question));
     }
 }
 
-void on_peer_datagram(gateway_state& self, address const& from,
+void on_peer_datagram(gateway_state& state, address const& from,
                       std::string_view bytes)
 {
-    if (auto const asked = status::from_datagram<status::peer_question>(bytes))
+    if (auto const peer_query =
+            status::from_datagram<status::peer_question>(bytes))
     {
-        on_question(self, from, *asked);
+        on_peer_query(state, from, *peer_query);
         return;
     }
     auto const answer = status::from_datagram<status::peer_answer>(bytes);
     if (!answer)
         return;
-    on_answered(self.questions, from.host);
-    take_standing(self, from.host, *self.operator_topic, operator_records_path,
-                  answer->operators, answer->asked_at_us);
-    take_standing(self, from.host, *self.upstream_topic, upstream_records_path,
-                  answer->upstreams, answer->asked_at_us);
-    take_stores(self, from.host, *answer);
+    on_query_answered(state.status_queries, from.host);
+    apply_standing(state, from.host, *state.operator_topic,
+                   operator_records_path, answer->operators,
+                   answer->asked_at_us);
+    apply_standing(state, from.host, *state.upstream_topic,
+                   upstream_records_path, answer->upstreams,
+                   answer->asked_at_us);
+    apply_reported_stores(state, from.host, *answer);
 }
 
-void on_records_request(gateway_state& self, http1::exchange_id exchange,
+void on_records_request(gateway_state& state, http1::exchange_id exchange,
                         http1::server_request const& request)
 {
     constexpr int ok = 200;
@@ -222,13 +227,13 @@
     }
     follow::follower const* topic = nullptr;
     if (path == operator_records_path)
-        topic = self.operator_topic.get();
+        topic = state.operator_topic.get();
     else if (path == upstream_records_path)
-        topic = self.upstream_topic.get();
+        topic = state.upstream_topic.get();
     if (topic == nullptr)
-        self.records->respond(exchange, not_found, {}, {});
+        state.records_server->respond(exchange, not_found, {}, {});
     else
-        self.records->respond(
+        state.records_server->respond(
             exchange, ok, {},
             status::to_bytes(follow::changes_since(topic->known(), since)));
 }
--- a/jujubestand/gateway/peers.hpp
+++ b/jujubestand/gateway/peers.hpp
@@ -11,28 +11,28 @@
 {
 
 /// \brief Long-poll timeout of reads of the operator topic.
-inline constexpr std::chrono::milliseconds operator_wait{500};
+inline constexpr std::chrono::milliseconds operator_poll_timeout{500};
 
 /// \brief Interval at which gateways and agents are queried.
 inline constexpr std::chrono::milliseconds tick_interval{100};
 
 /// \brief Queries the reading gateways and decides whether this gateway reads
 /// the store directly.
-void ask_peers(gateway_state& self);
+void query_peers(gateway_state& state);
 
 /// \brief Handles a datagram from another gateway.
-void on_peer_datagram(gateway_state& self, address const& from,
+void on_peer_datagram(gateway_state& state, address const& from,
                       std::string_view bytes);
 
 /// \brief Serves a record request of another gateway.
-void on_records_request(gateway_state& self, http1::exchange_id exchange,
+void on_records_request(gateway_state& state, http1::exchange_id exchange,
                         http1::server_request const& request);
 
 /// \brief Fetches records from a gateway or an agent. Does nothing while a
 /// fetch of the same path is in flight.
 /// \param since offset of the first requested record
 /// \param proven_at time at which the records were confirmed current
-void fetch_records(gateway_state& self, std::string const& host,
+void fetch_records(gateway_state& state, std::string const& host,
                    follow::follower& topic, std::string const& path,
                    std::uint64_t since, mono_time proven_at);
 
--- a/jujubestand/gateway/questions.cpp
+++ b/jujubestand/gateway/questions.cpp
@@ -17,36 +17,37 @@
 
 } // namespace
 
-bool may_ask(questions& sent, std::string const& host, mono_time now)
+bool begin_query(query_map& queries, std::string const& host, mono_time now)
 {
-    auto const last = sent.find(host);
-    bool const is_open = last != sent.end() && !last->second.is_answered &&
-                         now - last->second.at < answer_wait;
+    auto const last = queries.find(host);
+    bool const is_open = last != queries.end() && !last->second.is_answered &&
+                         now - last->second.sent_at < answer_wait;
     if (is_open)
         return false;
-    sent[host] = {now, false};
+    queries[host] = {now, false};
     return true;
 }
 
-void on_answered(questions& sent, std::string const& host)
+void on_query_answered(query_map& queries, std::string const& host)
 {
-    auto const found = sent.find(host);
-    if (found != sent.end())
+    auto const found = queries.find(host);
+    if (found != queries.end())
         found->second.is_answered = true;
 }
 
-void follow_reader(followed_reader& followed,
-                   std::vector<std::string> const& readers, mono_time now)
+void update_followed_reader(followed_reader& followed,
+                            std::vector<std::string> const& readers,
+                            mono_time now)
 {
     auto const current =
         std::find(readers.begin(), readers.end(), followed.host);
     bool const is_reader = current != readers.end();
-    bool const is_silent = now - followed.heard_at > reader_silence;
+    bool const is_silent = now - followed.last_answer_at > reader_silence;
     if (readers.empty() || (is_reader && !is_silent))
         return;
     bool const has_next = is_reader && current + 1 != readers.end();
     followed.host = has_next ? *(current + 1) : readers.front();
-    followed.heard_at = now;
+    followed.last_answer_at = now;
 }
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/questions.hpp
+++ b/jujubestand/gateway/questions.hpp
@@ -12,21 +12,21 @@
 {
 
 /// \brief The last query sent to a host.
-struct sent_question
+struct sent_query
 {
-    mono_time at{};
+    mono_time sent_at{};
     bool is_answered = false;
 };
 
 /// \brief Last query by host.
-using questions = std::map<std::string, sent_question>;
+using query_map = std::map<std::string, sent_query>;
 
 /// \brief Whether a query may be sent to a host, which is not so while one is
 /// outstanding. If so, records the query as sent.
-bool may_ask(questions& sent, std::string const& host, mono_time now);
+bool begin_query(query_map& queries, std::string const& host, mono_time now);
 
 /// \brief Marks the query to a host as answered.
-void on_answered(questions& sent, std::string const& host);
+void on_query_answered(query_map& queries, std::string const& host);
 
 /// \brief The reading gateway from which the contents of the part stores are
 /// taken. Only one at a time, since the readers order changes differently.
@@ -34,14 +34,15 @@
 {
     /// Empty until a reader is chosen.
     std::string host;
-    mono_time heard_at{};
+    mono_time last_answer_at{};
 };
 
 /// \brief Switches to the next reader if the followed one has timed out or no
 /// longer reads.
 /// \param readers IP addresses of the gateways that read the store
-void follow_reader(followed_reader& followed,
-                   std::vector<std::string> const& readers, mono_time now);
+void update_followed_reader(followed_reader& followed,
+                            std::vector<std::string> const& readers,
+                            mono_time now);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/repeats.cpp
+++ b/jujubestand/gateway/repeats.cpp
@@ -15,9 +15,9 @@
 
 } // namespace
 
-retries::retry_options retry_options_of(gateway_state const& self)
+retries::retry_options retry_options_of(gateway_state const& state)
 {
-    auto const& limits = self.settings.limits;
+    auto const& limits = state.settings.limits;
     // All gateways share the reserve; a part of it is left for gateways that
     // are not known yet.
     constexpr double ratio_share = 0.85;
@@ -27,26 +27,26 @@
     options.budget_ratio = limits.retry_ratio * ratio_share;
     options.budget_limit =
         std::max(2.0, limits.retry_reserve * reserve_share /
-                          static_cast<double>(self.dispatch.gateways));
+                          static_cast<double>(state.dispatch.gateways));
     options.budget_per_second = 0;
     options.backoff_base = std::chrono::milliseconds{0};
     return options;
 }
 
-retries::retry_options rescue_options_of(gateway_state const& self)
+retries::retry_options started_retry_options_of(gateway_state const& state)
 {
-    auto const& limits = self.settings.limits;
+    auto const& limits = state.settings.limits;
     constexpr double ratio_share = 0.05;
     constexpr double reserve_share = 0.2;
-    auto options = retry_options_of(self);
+    auto options = retry_options_of(state);
     options.budget_ratio = limits.retry_ratio * ratio_share;
     options.budget_limit =
         std::max(1.0, limits.retry_reserve * reserve_share /
-                          static_cast<double>(self.dispatch.gateways));
+                          static_cast<double>(state.dispatch.gateways));
     return options;
 }
 
-bool may_repeat(live_call const& call)
+bool is_retryable(active_call const& call)
 {
     return call.route.kind == traffic::call_kind::idempotent ||
            (call.route.kind == traffic::call_kind::stream &&
@@ -66,68 +66,71 @@
 
 // The route's attempt limit counts only upstreams that may have executed the
 // call.
-void count_run(live_call& call)
+void count_possible_run(active_call& call)
 {
-    ++call.runs;
-    call.terms.tried.push_back(call.upstream_key);
+    ++call.possible_runs;
+    call.dispatch_call.tried.push_back(call.upstream_key);
 }
 
-reason_code why_not_again(gateway_state& self, live_call const& call,
+reason_code acquire_retry(gateway_state& state, active_call const& call,
                           dispatch::send_outcome outcome, mono_time now)
 {
     bool const is_repeatable =
-        verdict_of(outcome) == verdict::not_run || may_repeat(call);
+        verdict_of(outcome) == verdict::not_run || is_retryable(call);
     if (!is_repeatable)
         return reason_code::upstream_read_cut;
-    if (call.runs >= call.route.attempts_limit)
+    if (call.possible_runs >= call.route.attempts_limit)
         return reason_code::attempts_spent;
     retries::request_progress progress;
-    progress.attempts = call.sends;
-    progress.worst = may_repeat(call) ? verdict::not_run : call.outcome;
-    progress.is_idempotent = may_repeat(call);
+    progress.attempts = call.upstream_attempts;
+    progress.worst = is_retryable(call) ? verdict::not_run : call.outcome;
+    progress.is_idempotent = is_retryable(call);
     progress.deadline = call.deadline;
     retries::attempt_failure failure;
     failure.outcome = verdict_of(outcome);
     failure.has_alternative = true;
     failure.has_arrived = outcome != dispatch::send_outcome::unreachable;
-    auto made =
-        retries::decide(self.budgets[call.terms.pool], retry_options_of(self),
-                        progress, failure, now, self.draw());
+    auto retry_decision = retries::decide(
+        state.retry_budgets[call.dispatch_call.pool], retry_options_of(state),
+        progress, failure, now, state.random_engine());
     // A response that has started would be lost without a retry.
-    if (made.why == reason_code::retry_budget_spent && call.is_begun)
-        made = retries::decide(self.rescues[call.terms.pool],
-                               rescue_options_of(self), progress, failure, now,
-                               self.draw());
-    return made.is_retry ? reason_code::none : made.why;
+    if (retry_decision.why == reason_code::retry_budget_spent &&
+        call.is_response_started)
+        retry_decision = retries::decide(
+            state.started_retry_budgets[call.dispatch_call.pool],
+            started_retry_options_of(state), progress, failure, now,
+            state.random_engine());
+    return retry_decision.is_retry ? reason_code::none : retry_decision.why;
 }
 
-void suspend(gateway_state& self, dispatch::call_key key,
-             dispatch::send_outcome outcome)
+void suspend_call(gateway_state& state, dispatch::call_key key,
+                  dispatch::send_outcome outcome)
 {
-    self.suspended[key] = outcome;
+    state.suspended_calls[key] = outcome;
 }
 
-void review_suspended(gateway_state& self)
+void review_suspended_calls(gateway_state& state)
 {
     auto const now = mono_now();
-    auto const held = std::exchange(self.suspended, {});
+    auto const held = std::exchange(state.suspended_calls, {});
     for (auto const& [key, outcome] : held)
     {
-        live_call const* const call = find_call(self, key);
+        active_call const* const call = find_call(state, key);
         // The caller has disconnected.
         if (call == nullptr)
             continue;
-        auto const why_not = why_not_again(self, *call, outcome, now);
+        auto const why_not = acquire_retry(state, *call, outcome, now);
         if (why_not == reason_code::none)
-            send_again(self, key);
+            retry_call(state, key);
         else if (why_not == reason_code::retry_budget_spent)
-            self.suspended[key] = outcome;
+            state.suspended_calls[key] = outcome;
         else
         {
-            problem what;
-            what.why = reason{why_not, "suspended call may not be retried", {}};
-            what.outcome = call->outcome;
-            fail_call(self, key, what);
+            problem error;
+            error.why =
+                reason{why_not, "suspended call may not be retried", {}};
+            error.outcome = call->outcome;
+            fail_call(state, key, error);
         }
     }
 }
--- a/jujubestand/gateway/repeats.hpp
+++ b/jujubestand/gateway/repeats.hpp
@@ -9,37 +9,37 @@
 
 /// \brief This gateway's share of the retry budget of all gateways.
 [[nodiscard]] retries::retry_options
-retry_options_of(gateway_state const& self);
+retry_options_of(gateway_state const& state);
 
 /// \brief Separate share of that budget for responses that have started.
 [[nodiscard]] retries::retry_options
-rescue_options_of(gateway_state const& self);
+started_retry_options_of(gateway_state const& state);
 
 /// \brief Whether a call may be executed more than once.
-[[nodiscard]] bool may_repeat(live_call const& call);
+[[nodiscard]] bool is_retryable(active_call const& call);
 
 /// \brief Whether a call ran, as far as the outcome of its attempt shows.
 [[nodiscard]] verdict verdict_of(dispatch::send_outcome outcome);
 
 /// \brief Counts an attempt that may have executed the call and excludes its
 /// upstream from further attempts.
-void count_run(live_call& call);
+void count_possible_run(active_call& call);
 
 /// \brief Whether the call may be retried; if so, charges the retry budget.
 /// \returns `none`, or the reason against a retry
-[[nodiscard]] reason_code why_not_again(gateway_state& self,
-                                        live_call const& call,
+[[nodiscard]] reason_code acquire_retry(gateway_state& state,
+                                        active_call const& call,
                                         dispatch::send_outcome outcome,
                                         mono_time now);
 
 /// \brief Holds a call whose response has started until the budget allows a
 /// retry; aborting it would lose the response.
-void suspend(gateway_state& self, dispatch::call_key key,
-             dispatch::send_outcome outcome);
+void suspend_call(gateway_state& state, dispatch::call_key key,
+                  dispatch::send_outcome outcome);
 
 /// \brief Retries suspended calls as far as the budget allows and fails those
 /// that may no longer be retried.
-void review_suspended(gateway_state& self);
+void review_suspended_calls(gateway_state& state);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/sends.cpp
+++ b/jujubestand/gateway/sends.cpp
@@ -42,103 +42,105 @@
            status == status_unavailable;
 }
 
-std::chrono::milliseconds time_left(live_call const& call, mono_time now)
+std::chrono::milliseconds time_left(active_call const& call, mono_time now)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline -
                                                                  now);
 }
 
-std::string last_event_of(live_call const& call)
+std::string last_event_of(active_call const& call)
 {
     if (call.events.last_id)
         return std::to_string(*call.events.last_id);
-    return call.asked.last_event;
+    return call.caller_request.last_event;
 }
 
-traffic::send_terms terms_of(live_call const& call,
-                             dispatch::decision const& made, mono_time now)
+traffic::send_terms terms_of(active_call const& call,
+                             dispatch::decision const& dispatch_decision,
+                             mono_time now)
 {
     traffic::send_terms terms;
     terms.upstream = call.upstream;
     terms.team = call.team.name;
     terms.time_left = time_left(call, now);
     terms.last_event = last_event_of(call);
-    if (!made.weights)
+    if (!dispatch_decision.weights)
         return terms;
     constexpr std::uint8_t urgency_limit = 9;
-    terms.weights = made.weights;
-    terms.cache_scope =
-        dispatch::cache_scope(call.terms.cache_owner, *made.weights);
-    terms.priority = std::min(call.terms.priority, urgency_limit);
-    terms.fetch_from = made.fetch_from;
-    terms.save_to = made.save_to;
+    terms.weights = dispatch_decision.weights;
+    terms.cache_scope = dispatch::cache_scope(call.dispatch_call.cache_owner,
+                                              *dispatch_decision.weights);
+    terms.priority = std::min(call.dispatch_call.priority, urgency_limit);
+    terms.fetch_from = dispatch_decision.fetch_from;
+    terms.save_to = dispatch_decision.save_to;
     return terms;
 }
 
-void answer_whole(gateway_state& self, dispatch::call_key key)
+void finish_call(gateway_state& state, dispatch::call_key key)
 {
-    live_call* const call = find_call(self, key);
-    auto fields = call->answer.passed;
-    self.log->write(
-        event_number::request_finished, call->asked.request_id,
-        {{"status", call->answer.status},
+    active_call* const call = find_call(state, key);
+    auto fields = call->response_head.passed;
+    state.log->write(
+        event_number::request_finished, call->caller_request.request_id,
+        {{"status", call->response_head.status},
          {"upstream", call->upstream},
          {"took_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
                          mono_now() - call->arrived_at)
                          .count()}});
-    if (call->is_begun)
-        self.callers->finish(call->exchange);
+    if (call->is_response_started)
+        state.caller_server->finish(call->exchange);
     else
-        self.callers->respond(call->exchange, call->answer.status, fields,
-                              call->body);
-    end_call(self, key);
+        state.caller_server->respond(call->exchange, call->response_head.status,
+                                     fields, call->response_body);
+    end_call(state, key);
 }
 
-void on_head(gateway_state& self, dispatch::call_key key,
+void on_head(gateway_state& state, dispatch::call_key key,
              http1::message_head const& head)
 {
-    live_call* const call = find_call(self, key);
+    active_call* const call = find_call(state, key);
     if (call == nullptr)
         return;
     auto answer = platform::read_answer(head);
-    auto const send = self.dispatch.sends.find(key);
-    if (answer.weights && call->terms.asked &&
-        send != self.dispatch.sends.end())
-        dispatch::on_weights_seen(self.dispatch, send->second.upstream,
-                                  call->terms.asked->model, *answer.weights);
+    auto const send = state.dispatch.sends.find(key);
+    if (answer.weights && call->dispatch_call.asked &&
+        send != state.dispatch.sends.end())
+        dispatch::on_weights_seen(state.dispatch, send->second.upstream,
+                                  call->dispatch_call.asked->model,
+                                  *answer.weights);
     if (!answer.other_upstream.empty() &&
         answer.other_upstream != call->upstream)
-        dispatch::on_misdirected(self.dispatch, call->upstream_key);
+        dispatch::on_misdirected(state.dispatch, call->upstream_key);
     bool const is_usable =
         answer.is_signed && !answer.is_encoded && !answer.is_not_run;
-    call->is_ignored =
-        !is_usable || (call->is_begun && !is_success(answer.status));
+    call->is_response_discarded =
+        !is_usable || (call->is_response_started && !is_success(answer.status));
     call->is_repeatable_failure =
-        answer.status >= first_server_error && may_repeat(*call);
-    if (!call->is_begun)
-        call->answer = std::move(answer);
+        answer.status >= first_server_error && is_retryable(*call);
+    if (!call->is_response_started)
+        call->response_head = std::move(answer);
     else
-        call->answer.is_not_run = answer.is_not_run;
+        call->response_head.is_not_run = answer.is_not_run;
 }
 
-bool is_stream_answer(live_call const& call)
+bool is_stream_answer(active_call const& call)
 {
     return call.route.kind == traffic::call_kind::stream &&
-           is_success(call.answer.status);
+           is_success(call.response_head.status);
 }
 
-void on_send_end(gateway_state& self, dispatch::call_key key,
+void on_send_end(gateway_state& state, dispatch::call_key key,
                  http1::call_end const& end);
 
-void on_body(gateway_state& self, dispatch::call_key key,
+void on_body(gateway_state& state, dispatch::call_key key,
              std::string_view bytes)
 {
-    live_call* const call = find_call(self, key);
-    if (call == nullptr || call->is_ignored)
+    active_call* const call = find_call(state, key);
+    if (call == nullptr || call->is_response_discarded)
         return;
     if (!is_stream_answer(*call))
     {
-        call->body += bytes;
+        call->response_body += bytes;
         return;
     }
     std::string const events = on_bytes(call->events, bytes);
@@ -148,24 +150,24 @@
         end.may_have_sent = true;
         end.why = reason{
             reason_code::answer_too_large, "server-sent event too large", {}};
-        self.upstreams->cancel(call->send);
-        on_send_end(self, key, end);
+        state.upstream_client->cancel(call->upstream_call);
+        on_send_end(state, key, end);
         return;
     }
     if (events.empty())
         return;
-    dispatch::on_first_output(self.dispatch, key);
-    if (!call->is_begun)
+    dispatch::on_first_output(state.dispatch, key);
+    if (!call->is_response_started)
     {
-        call->is_begun = true;
-        self.callers->begin(call->exchange, call->answer.status,
-                            call->answer.passed);
+        call->is_response_started = true;
+        state.caller_server->begin(call->exchange, call->response_head.status,
+                                   call->response_head.passed);
     }
-    self.callers->send(call->exchange, events);
+    state.caller_server->send(call->exchange, events);
 }
 
 // Outcome of an attempt as dispatch counts it for the upstream.
-dispatch::send_outcome outcome_of(live_call const& call,
+dispatch::send_outcome outcome_of(active_call const& call,
                                   http1::call_end const& end)
 {
     using dispatch::send_outcome;
@@ -173,77 +175,79 @@
         return send_outcome::unreachable;
     if (!end.is_complete)
         return send_outcome::cut;
-    if (call.answer.is_not_run)
+    if (call.response_head.is_not_run)
         return send_outcome::refused;
-    if (call.is_ignored)
+    if (call.is_response_discarded)
         return send_outcome::cut;
-    return call.answer.status >= first_server_error ? send_outcome::failed
-                                                    : send_outcome::served;
+    return call.response_head.status >= first_server_error
+               ? send_outcome::failed
+               : send_outcome::served;
 }
 
 // Whether the response can be forwarded at once. A server error of the upstream
 // is forwarded only if the call may not be retried.
-bool is_final(live_call const& call, dispatch::send_outcome outcome)
+bool is_final(active_call const& call, dispatch::send_outcome outcome)
 {
     return outcome == dispatch::send_outcome::served &&
-           !promises_not_run(call.answer.status);
+           !promises_not_run(call.response_head.status);
 }
 
-void on_send_end(gateway_state& self, dispatch::call_key key,
+void on_send_end(gateway_state& state, dispatch::call_key key,
                  http1::call_end const& end)
 {
-    live_call* const call = find_call(self, key);
+    active_call* const call = find_call(state, key);
     if (call == nullptr)
         return;
     auto const now = mono_now();
     auto const outcome = outcome_of(*call, end);
-    call->send = http1::call_id{};
+    call->upstream_call = http1::call_id{};
     call->outcome = worst(call->outcome, verdict_of(outcome));
-    dispatch::on_send_end(self.dispatch, key, outcome, now);
+    dispatch::on_send_end(state.dispatch, key, outcome, now);
     if (verdict_of(outcome) != verdict::not_run)
-        count_run(*call);
+        count_possible_run(*call);
     if (is_final(*call, outcome))
     {
-        answer_whole(self, key);
+        finish_call(state, key);
         return;
     }
-    auto const why_not = why_not_again(self, *call, outcome, now);
-    self.log->write(
-        event_number::attempt_failed, call->asked.request_id,
+    auto const why_not = acquire_retry(state, *call, outcome, now);
+    state.log->write(
+        event_number::attempt_failed, call->caller_request.request_id,
         {{"upstream", call->upstream},
          {"outcome", to_name(dispatch::send_outcome_names, outcome)},
-         {"status", call->answer.status},
+         {"status", call->response_head.status},
          {"why", end.why.text},
          {"again", why_not == reason_code::none ? "yes" : to_name(why_not)}});
     if (why_not == reason_code::none)
     {
-        send_again(self, key);
+        retry_call(state, key);
         return;
     }
-    if (why_not == reason_code::retry_budget_spent && call->is_begun)
+    if (why_not == reason_code::retry_budget_spent && call->is_response_started)
     {
-        suspend(self, key, outcome);
+        suspend_call(state, key, outcome);
         return;
     }
-    if (outcome == dispatch::send_outcome::failed && !call->is_begun &&
-        !promises_not_run(call->answer.status))
+    if (outcome == dispatch::send_outcome::failed &&
+        !call->is_response_started &&
+        !promises_not_run(call->response_head.status))
     {
-        answer_whole(self, key);
+        finish_call(state, key);
         return;
     }
-    problem what;
-    what.why = end.why;
-    if (what.why.code == reason_code::none)
-        what.why = reason{
+    problem error;
+    error.why = end.why;
+    if (error.why.code == reason_code::none)
+        error.why = reason{
             reason_code::upstream_error, "no usable upstream response", {}};
-    what.outcome = call->outcome;
-    what.status = status_of(call->outcome, what.why.code);
+    error.outcome = call->outcome;
+    error.status = status_of(call->outcome, error.why.code);
     if (call->outcome == verdict::not_run)
-        what.retry_after = retry_pause;
-    fail_call(self, key, what);
+        error.retry_after = retry_pause;
+    fail_call(state, key, error);
 }
 
-http1::call_events events_of(gateway_state& self, dispatch::call_key key,
+http1::call_events events_of(gateway_state& state, dispatch::call_key key,
                              std::string const& request_id)
 {
     http1::call_events events;
@@ -252,127 +256,140 @@
         auto const answer = platform::read_answer(head);
         return !answer.request_id.empty() && answer.request_id != request_id;
     };
-    events.on_head = [&self, key](http1::message_head const& head)
+    events.on_head = [&state, key](http1::message_head const& head)
     {
-        on_head(self, key, head);
+        on_head(state, key, head);
     };
-    events.on_body = [&self, key](std::string_view bytes)
+    events.on_body = [&state, key](std::string_view bytes)
     {
-        on_body(self, key, bytes);
+        on_body(state, key, bytes);
     };
-    events.on_end = [&self, key](http1::call_end const& end)
+    events.on_end = [&state, key](http1::call_end const& end)
     {
-        on_send_end(self, key, end);
+        on_send_end(state, key, end);
     };
     return events;
 }
 
-void send(gateway_state& self, dispatch::decision const& made)
+void send(gateway_state& state, dispatch::decision const& dispatch_decision)
 {
-    live_call* const call = find_call(self, made.call);
-    auto const& one = self.dispatch.upstreams.at(made.upstream);
+    active_call* const call = find_call(state, dispatch_decision.call);
+    auto const& target_upstream =
+        state.dispatch.upstreams.at(dispatch_decision.upstream);
     auto const now = mono_now();
-    call->upstream = one.record.id;
-    call->upstream_key = made.upstream;
-    ++call->sends;
+    call->upstream = target_upstream.record.id;
+    call->upstream_key = dispatch_decision.upstream;
+    ++call->upstream_attempts;
     http1::client_request request;
-    request.server = one.record.where;
-    request.method = call->asked.method;
-    request.target = call->asked.target;
-    request.fields =
-        platform::upstream_fields(call->asked, terms_of(*call, made, now));
-    request.body = call->asked.body;
+    request.server = target_upstream.record.where;
+    request.method = call->caller_request.method;
+    request.target = call->caller_request.target;
+    request.fields = platform::upstream_fields(
+        call->caller_request, terms_of(*call, dispatch_decision, now));
+    request.body = call->caller_request.body;
     request.connect_timeout = connect_timeout;
     request.timeout =
         std::max(time_left(*call, now), std::chrono::milliseconds{1});
-    request.idle_limit = may_repeat(*call) ? idle_limit : once_idle_limit;
-    self.log->write(
-        event_number::upstream_chosen, call->asked.request_id,
+    request.idle_limit = is_retryable(*call) ? idle_limit : once_idle_limit;
+    state.log->write(
+        event_number::upstream_chosen, call->caller_request.request_id,
         {{"upstream", call->upstream},
-         {"expected_ms", static_cast<std::int64_t>(made.expected_ms)},
-         {"weights", static_cast<std::int64_t>(made.weights.value_or(0))},
-         {"cached", static_cast<std::int64_t>(made.cached_tokens)},
-         {"fetch", made.fetch_from ? to_text(*made.fetch_from) : "none"}});
-    call->send = self.upstreams->start(
-        std::move(request), events_of(self, made.call, call->asked.request_id));
+         {"expected_ms",
+          static_cast<std::int64_t>(dispatch_decision.expected_ms)},
+         {"weights",
+          static_cast<std::int64_t>(dispatch_decision.weights.value_or(0))},
+         {"cached", static_cast<std::int64_t>(dispatch_decision.cached_tokens)},
+         {"fetch", dispatch_decision.fetch_from
+                       ? to_text(*dispatch_decision.fetch_from)
+                       : "none"}});
+    call->upstream_call = state.upstream_client->start(
+        std::move(request), events_of(state, dispatch_decision.call,
+                                      call->caller_request.request_id));
 }
 
 } // namespace
 
-live_call* find_call(gateway_state& self, dispatch::call_key key)
+active_call* find_call(gateway_state& state, dispatch::call_key key)
 {
-    auto const found = self.live.find(key);
-    return found == self.live.end() ? nullptr : &found->second;
+    auto const found = state.active_calls.find(key);
+    return found == state.active_calls.end() ? nullptr : &found->second;
 }
 
-void apply(gateway_state& self, dispatch::decision const& made)
+void apply_decision(gateway_state& state,
+                    dispatch::decision const& dispatch_decision)
 {
-    live_call* const call = find_call(self, made.call);
+    active_call* const call = find_call(state, dispatch_decision.call);
     if (call == nullptr)
         return;
-    if (made.what == dispatch::action::send)
+    if (dispatch_decision.what == dispatch::action::send)
     {
-        if (self.callers->has_left(call->exchange))
-            on_caller_gone(self, call->exchange);
+        if (state.caller_server->has_left(call->exchange))
+            on_caller_disconnected(state, call->exchange);
         else
-            send(self, made);
+            send(state, dispatch_decision);
         return;
     }
-    if (made.what == dispatch::action::hold)
+    if (dispatch_decision.what == dispatch::action::hold)
     {
-        self.log->write(event_number::request_waits, call->asked.request_id,
-                        {{"pool", call->terms.pool},
-                         {"waiting", static_cast<std::int64_t>(
-                                         self.dispatch.waiting.size())}});
+        state.log->write(
+            event_number::request_waits, call->caller_request.request_id,
+            {{"pool", call->dispatch_call.pool},
+             {"waiting",
+              static_cast<std::int64_t>(state.dispatch.waiting.size())}});
         return;
     }
-    problem what;
-    what.why = made.why;
-    what.outcome = call->outcome;
-    what.status = status_of(call->outcome, made.why.code);
+    problem error;
+    error.why = dispatch_decision.why;
+    error.outcome = call->outcome;
+    error.status = status_of(call->outcome, dispatch_decision.why.code);
     if (call->outcome == verdict::not_run)
-        what.retry_after = made.retry_after;
-    fail_call(self, made.call, what);
+        error.retry_after = dispatch_decision.retry_after;
+    fail_call(state, dispatch_decision.call, error);
 }
 
-void send_again(gateway_state& self, dispatch::call_key key)
+void retry_call(gateway_state& state, dispatch::call_key key)
 {
-    live_call* const call = find_call(self, key);
-    on_continued(call->events);
-    call->body.clear();
-    call->is_ignored = false;
+    active_call* const call = find_call(state, key);
+    discard_partial_event(call->events);
+    call->response_body.clear();
+    call->is_response_discarded = false;
     call->is_repeatable_failure = false;
-    auto const made = dispatch::submit(self.dispatch, call->terms, mono_now());
-    self.log->write(event_number::retry_scheduled, call->asked.request_id,
-                    {{"sends", static_cast<std::int64_t>(call->sends)}});
-    apply(self, made);
+    auto const dispatch_decision =
+        dispatch::submit(state.dispatch, call->dispatch_call, mono_now());
+    state.log->write(
+        event_number::retry_scheduled, call->caller_request.request_id,
+        {{"sends", static_cast<std::int64_t>(call->upstream_attempts)}});
+    apply_decision(state, dispatch_decision);
 }
 
-void fail_call(gateway_state& self, dispatch::call_key key, problem const& what)
+void fail_call(gateway_state& state, dispatch::call_key key,
+               problem const& error)
 {
-    live_call const* const call = find_call(self, key);
+    active_call const* const call = find_call(state, key);
     if (call == nullptr)
         return;
-    if (call->is_begun)
+    if (call->is_response_started)
     {
-        self.log->write(event_number::request_failed, call->asked.request_id,
-                        {{"verdict", to_name(verdict_names, what.outcome)},
-                         {"reason", to_name(what.why.code)},
-                         {"why", "response aborted after it had started"}});
-        self.callers->abort(call->exchange);
+        state.log->write(event_number::request_failed,
+                         call->caller_request.request_id,
+                         {{"verdict", to_name(verdict_names, error.outcome)},
+                          {"reason", to_name(error.why.code)},
+                          {"why", "response aborted after it had started"}});
+        state.caller_server->abort(call->exchange);
     }
     else
-        refuse_request(self, call->exchange, call->asked.request_id, what);
-    end_call(self, key);
+        refuse_request(state, call->exchange, call->caller_request.request_id,
+                       error);
+    end_call(state, key);
 }
 
-void end_call(gateway_state& self, dispatch::call_key key)
+void end_call(gateway_state& state, dispatch::call_key key)
 {
-    live_call const* const call = find_call(self, key);
+    active_call const* const call = find_call(state, key);
     if (call == nullptr)
         return;
-    self.by_exchange.erase(call->exchange);
-    self.live.erase(key);
+    state.call_by_exchange.erase(call->exchange);
+    state.active_calls.erase(key);
 }
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/sends.hpp
+++ b/jujubestand/gateway/sends.hpp
@@ -9,23 +9,25 @@
 {
 
 /// \brief Finds a call by key; null if it has ended.
-[[nodiscard]] live_call* find_call(gateway_state& self, dispatch::call_key key);
+[[nodiscard]] active_call* find_call(gateway_state& state,
+                                     dispatch::call_key key);
 
 /// \brief Executes a dispatch decision: sends, holds or fails the call.
-void apply(gateway_state& self, dispatch::decision const& made);
+void apply_decision(gateway_state& state,
+                    dispatch::decision const& dispatch_decision);
 
 /// \brief Submits a call for another attempt; a stream resumes after the last
 /// forwarded event.
-void send_again(gateway_state& self, dispatch::call_key key);
+void retry_call(gateway_state& state, dispatch::call_key key);
 
 /// \brief Ends a call with a failure reported by the gateway; a response that
 /// has started is aborted.
-void fail_call(gateway_state& self, dispatch::call_key key,
-               problem const& what);
+void fail_call(gateway_state& state, dispatch::call_key key,
+               problem const& error);
 
 /// \brief Removes a call whose response is complete or whose caller has
 /// disconnected.
-void end_call(gateway_state& self, dispatch::call_key key);
+void end_call(gateway_state& state, dispatch::call_key key);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/state.hpp
+++ b/jujubestand/gateway/state.hpp
@@ -32,33 +32,33 @@
 {
 
 /// \brief A caller's request in progress.
-struct live_call
+struct active_call
 {
     http1::exchange_id exchange;
-    traffic::caller_call asked;
+    traffic::caller_call caller_request;
     /// Copy taken on arrival; later configuration changes do not affect it.
     traffic::route route;
     traffic::team team;
     mono_time arrived_at{};
     mono_time deadline{};
-    dispatch::call terms;
+    dispatch::call dispatch_call;
     /// Upstream request in flight; default-constructed if there is none.
-    http1::call_id send;
+    http1::call_id upstream_call;
     std::string upstream;
     dispatch::upstream_key upstream_key = 0;
-    std::uint32_t sends = 0;
+    std::uint32_t upstream_attempts = 0;
     /// Number of attempts that may have executed the call.
-    std::uint32_t runs = 0;
+    std::uint32_t possible_runs = 0;
     /// Worst verdict over the attempts that ended.
     verdict outcome = verdict::not_run;
-    traffic::answer_head answer;
+    traffic::answer_head response_head;
     /// Buffered response body; streams are forwarded without buffering.
-    std::string body;
+    std::string response_body;
     event_stream events;
     /// The response head was sent to the caller.
-    bool is_begun = false;
+    bool is_response_started = false;
     /// The current upstream response is read but not forwarded.
-    bool is_ignored = false;
+    bool is_response_discarded = false;
     /// The upstream answered with a server error and the call may be
     /// retried on another upstream.
     bool is_repeatable_failure = false;
@@ -68,10 +68,10 @@
 struct watched_store
 {
     status::cache_view cache;
-    bool is_asking = false;
-    bool is_alive = false;
+    bool is_poll_in_flight = false;
+    bool is_reachable = false;
     unsigned failures = 0;
-    mono_time next_at{};
+    mono_time next_poll_at{};
 };
 
 /// \brief State of a gateway process.
@@ -80,52 +80,52 @@
     event_base* base = nullptr;
     node::settings settings;
     logs::log* log = nullptr;
-    std::unique_ptr<http1::client> calls;
-    std::unique_ptr<http1::client> upstreams;
-    std::unique_ptr<http1::server> callers;
-    std::unique_ptr<http1::server> readiness;
+    std::unique_ptr<http1::client> internal_client;
+    std::unique_ptr<http1::client> upstream_client;
+    std::unique_ptr<http1::server> caller_server;
+    std::unique_ptr<http1::server> readiness_server;
     std::unique_ptr<platform::store> store;
     std::unique_ptr<follow::follower> operator_topic;
     std::unique_ptr<follow::follower> upstream_topic;
     /// Status datagrams to and from agents and other gateways.
     std::unique_ptr<loop::datagrams> datagrams;
     /// Serves store records to other gateways.
-    std::unique_ptr<http1::server> records;
+    std::unique_ptr<http1::server> records_server;
     std::optional<loop::timer> tick_timer;
     std::optional<loop::timer> review_timer;
     std::optional<loop::timer> stop_timer;
     /// `review_timer` is armed.
-    bool is_review_planned = false;
+    bool is_review_scheduled = false;
     follow::lapses lapses;
     std::optional<traffic::tables> tables;
     dispatch::state dispatch;
     /// Retry budget per pool.
-    std::map<std::string, retries::retry_budget> budgets;
+    std::map<std::string, retries::retry_budget> retry_budgets;
     /// Second retry budget per pool, for responses that have started; used
     /// once the first is exhausted.
-    std::map<std::string, retries::retry_budget> rescues;
-    std::unordered_map<dispatch::call_key, live_call> live;
-    std::map<http1::exchange_id, dispatch::call_key> by_exchange;
-    dispatch::call_key last_call = 0;
-    std::mt19937_64 draw;
+    std::map<std::string, retries::retry_budget> started_retry_budgets;
+    std::unordered_map<dispatch::call_key, active_call> active_calls;
+    std::map<http1::exchange_id, dispatch::call_key> call_by_exchange;
+    dispatch::call_key last_call_key = 0;
+    std::mt19937_64 random_engine;
     bool is_fresh = false;
-    bool is_stopping = false;
+    bool is_draining = false;
     /// The previous drain check found the gateway idle.
     bool was_idle = false;
     /// Keyed by store address.
     std::map<std::string, watched_store> watched_stores;
     /// Calls whose response has started and that wait for retry budget, with
     /// the outcome of the last attempt.
-    std::map<dispatch::call_key, dispatch::send_outcome> suspended;
+    std::map<dispatch::call_key, dispatch::send_outcome> suspended_calls;
     /// Paths of the record fetches in flight.
-    std::set<std::string> fetching;
-    gateway::questions questions;
-    followed_reader stores_from;
+    std::set<std::string> fetches_in_flight;
+    gateway::query_map status_queries;
+    followed_reader part_store_reader;
     /// IP addresses of all gateways, highest link bandwidth first; empty until
     /// an agent has reported them.
-    std::vector<std::string> peers;
+    std::vector<std::string> gateway_hosts;
     mono_time started_at{};
-    mono_time stopping_since{};
+    mono_time drain_started_at{};
 };
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/test/event_stream_test.cpp
+++ b/jujubestand/gateway/test/event_stream_test.cpp
@@ -19,7 +19,7 @@
     event_stream state;
     EXPECT_EQ(on_bytes(state, "id: 1\ndata: a\n\nid: 2\ndata: cut he"),
               "id: 1\ndata: a\n\n");
-    on_continued(state);
+    discard_partial_event(state);
     EXPECT_EQ(on_bytes(state, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"),
               "id: 2\ndata: b\n\n");
 }
--- a/jujubestand/gateway/test/questions_test.cpp
+++ b/jujubestand/gateway/test/questions_test.cpp
@@ -19,32 +19,32 @@
 // times.
 TEST(questions, an_open_question_is_not_repeated_at_each_tick)
 {
-    questions sent;
-    int asked = 0;
+    query_map queries;
+    int query_count = 0;
     for (int ms = 0; ms < 2'000; ms += 100)
     {
-        if (may_ask(sent, "10.0.0.1", at(ms)))
-            ++asked;
+        if (begin_query(queries, "10.0.0.1", at(ms)))
+            ++query_count;
     }
-    EXPECT_EQ(asked, 5);
+    EXPECT_EQ(query_count, 5);
 }
 
 TEST(questions, an_answered_question_is_followed_by_the_next)
 {
-    questions sent;
+    query_map queries;
     for (int ms = 0; ms < 1'000; ms += 100)
     {
-        EXPECT_TRUE(may_ask(sent, "10.0.0.1", at(ms)));
-        EXPECT_EQ(may_ask(sent, "10.0.0.2", at(ms)), ms % 400 == 0);
-        on_answered(sent, "10.0.0.1");
+        EXPECT_TRUE(begin_query(queries, "10.0.0.1", at(ms)));
+        EXPECT_EQ(begin_query(queries, "10.0.0.2", at(ms)), ms % 400 == 0);
+        on_query_answered(queries, "10.0.0.1");
     }
 }
 
 TEST(questions, an_answer_nobody_asked_for_counts_for_nothing)
 {
-    questions sent;
-    on_answered(sent, "10.0.0.1");
-    EXPECT_TRUE(sent.empty());
+    query_map queries;
+    on_query_answered(queries, "10.0.0.1");
+    EXPECT_TRUE(queries.empty());
 }
 
 // Each of the two readers numbers changes on its own. A gateway that alternated
@@ -55,9 +55,9 @@
     followed_reader followed;
     for (int ms = 0; ms < 5'000; ms += 100)
     {
-        follow_reader(followed, readers, at(ms));
+        update_followed_reader(followed, readers, at(ms));
         EXPECT_EQ(followed.host, "10.0.0.1");
-        followed.heard_at = at(ms);
+        followed.last_answer_at = at(ms);
     }
 }
 
@@ -65,20 +65,20 @@
 {
     std::vector<std::string> const readers = {"10.0.0.1", "10.0.0.2"};
     followed_reader followed;
-    follow_reader(followed, readers, at(0));
-    follow_reader(followed, readers, at(1'100));
+    update_followed_reader(followed, readers, at(0));
+    update_followed_reader(followed, readers, at(1'100));
     EXPECT_EQ(followed.host, "10.0.0.2");
-    follow_reader(followed, readers, at(2'200));
+    update_followed_reader(followed, readers, at(2'200));
     EXPECT_EQ(followed.host, "10.0.0.1");
 }
 
 TEST(questions, a_gateway_that_reads_no_more_is_left_at_once)
 {
     followed_reader followed;
-    follow_reader(followed, {"10.0.0.1"}, at(0));
-    follow_reader(followed, {"10.0.0.5", "10.0.0.6"}, at(10));
+    update_followed_reader(followed, {"10.0.0.1"}, at(0));
+    update_followed_reader(followed, {"10.0.0.5", "10.0.0.6"}, at(10));
     EXPECT_EQ(followed.host, "10.0.0.5");
-    follow_reader(followed, {}, at(20));
+    update_followed_reader(followed, {}, at(20));
     EXPECT_EQ(followed.host, "10.0.0.5");
 }
 
