--- a/jujubestand/gateway/agents.hpp
+++ b/jujubestand/gateway/agents.hpp
@@ -5,16 +5,16 @@
 #include <jujubestand/gateway/state.hpp>
 #include <string_view>
 
-/// \brief What agents beside the engines tell a gateway.
+/// \brief Status queries to the agents that run beside the engines.
 namespace jujubestand::gateway
 {
 
-/// \brief Asks all agents for their status.
-void ask_agents(gateway_state& self);
+/// \brief Sends a status query to every agent that has none outstanding.
+void query_agents(gateway_state& state);
 
-/// \brief An agent's answer came.
-void on_agent_answer(gateway_state& self, address const& from,
-                     std::string_view bytes);
+/// \brief Handles a status datagram from an agent.
+void on_agent_datagram(gateway_state& state, address const& from,
+                       std::string_view bytes);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/calls.hpp
+++ b/jujubestand/gateway/calls.hpp
@@ -3,22 +3,24 @@
 
 #include <jujubestand/gateway/state.hpp>
 
-/// \brief Calls of callers, from their arrival to their answer.
+/// \brief Handling of caller requests from arrival to response.
 namespace jujubestand::gateway
 {
 
-/// \brief A caller's request was read whole.
-void on_request(gateway_state& self, http1::exchange_id exchange,
+/// \brief Handles a completely received caller request.
+void on_request(gateway_state& state, http1::exchange_id exchange,
                 http1::server_request request);
 
-/// \brief A caller left before it had its whole answer.
-void on_caller_gone(gateway_state& self, http1::exchange_id exchange);
+/// \brief Handles a caller that disconnected before its response was
+/// complete.
+void on_caller_disconnected(gateway_state& state, http1::exchange_id exchange);
 
-/// \brief Has the waiting calls reviewed shortly; not at once.
-void plan_review(gateway_state& self);
+/// \brief Schedules a review of the waiting calls unless one is already
+/// scheduled.
+void schedule_review(gateway_state& state);
 
-/// \brief Decides anew on the calls that wait.
-void review_waiting(gateway_state& self);
+/// \brief Re-evaluates the dispatch decision of all waiting calls.
+void review_waiting(gateway_state& state);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/questions.hpp
+++ b/jujubestand/gateway/questions.hpp
@@ -6,41 +6,43 @@
 #include <string>
 #include <vector>
 
-/// \brief When a gateway asks other processes, and which gateway it follows.
+/// \brief Pacing of status queries to other processes, and the choice of the
+/// gateway to follow.
 namespace jujubestand::gateway
 {
 
-/// \brief The last question to one process.
-struct sent_question
+/// \brief The last query sent to a host.
+struct sent_query
 {
-    mono_time at{};
+    mono_time sent_at{};
     bool is_answered = false;
 };
 
-/// \brief Questions by the host that was asked.
-using questions = std::map<std::string, sent_question>;
+/// \brief Last query by host.
+using query_map = std::map<std::string, sent_query>;
 
-/// \brief Whether to ask a process again: not while a question is open.
-/// Counts as a question sent if so.
-bool may_ask(questions& sent, std::string const& host, mono_time now);
+/// \brief Whether a query may be sent to a host, which is not so while one is
+/// outstanding. If so, records the query as sent.
+bool begin_query(query_map& queries, std::string const& host, mono_time now);
 
-/// \brief A process answered.
-void on_answered(questions& sent, std::string const& host);
+/// \brief Marks the query to a host as answered.
+void on_query_answered(query_map& queries, std::string const& host);
 
-/// \brief The gateway whose knowledge of the stores of parts is followed. One
-/// at a time: what two of them have read differs in its order.
+/// \brief The reading gateway from which the contents of the part stores are
+/// taken. Only one at a time, since the readers order changes differently.
 struct followed_reader
 {
-    /// Empty: none yet.
+    /// Empty until a reader is chosen.
     std::string host;
-    mono_time heard_at{};
+    mono_time last_answer_at{};
 };
 
-/// \brief Turns to another reader if the followed one is silent or reads no
-/// more.
-/// \param readers IP numbers of the gateways that read
-void follow_reader(followed_reader& followed,
-                   std::vector<std::string> const& readers, mono_time now);
+/// \brief Switches to the next reader if the followed one has timed out or no
+/// longer reads.
+/// \param readers IP addresses of the gateways that read the store
+void update_followed_reader(followed_reader& followed,
+                            std::vector<std::string> const& readers,
+                            mono_time now);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/sends.hpp
+++ b/jujubestand/gateway/sends.hpp
@@ -4,25 +4,30 @@
 #include <jujubestand/gateway/answers.hpp>
 #include <jujubestand/gateway/state.hpp>
 
-/// \brief Sends of a call to upstreams, and their answers.
+/// \brief Attempts of a call at upstreams and their responses.
 namespace jujubestand::gateway
 {
 
-/// \brief A call by its key; null if it has ended.
-[[nodiscard]] live_call* find_call(gateway_state& self, dispatch::call_key key);
+/// \brief Finds a call by key; null if it has ended.
+[[nodiscard]] active_call* find_call(gateway_state& state,
+                                     dispatch::call_key key);
 
-/// \brief Carries out a decision on a call.
-void apply(gateway_state& self, dispatch::decision const& made);
+/// \brief Executes a dispatch decision: sends, holds or fails the call.
+void apply_decision(gateway_state& state,
+                    dispatch::decision const& dispatch_decision);
 
-/// \brief Sends a call once more, from where its answer has got to.
-void send_again(gateway_state& self, dispatch::call_key key);
+/// \brief Submits a call for another attempt; a stream resumes after the last
+/// forwarded event.
+void retry_call(gateway_state& state, dispatch::call_key key);
 
-/// \brief Ends a call with a failure of our own.
-void fail_call(gateway_state& self, dispatch::call_key key,
-               problem const& what);
+/// \brief Ends a call with a failure reported by the gateway; a response that
+/// has started is aborted.
+void fail_call(gateway_state& state, dispatch::call_key key,
+               problem const& error);
 
-/// \brief Forgets a call; its answer is given or nobody waits for it.
-void end_call(gateway_state& self, dispatch::call_key key);
+/// \brief Removes a call whose response is complete or whose caller has
+/// disconnected.
+void end_call(gateway_state& state, dispatch::call_key key);
 
 } // namespace jujubestand::gateway
 
--- a/jujubestand/gateway/state.hpp
+++ b/jujubestand/gateway/state.hpp
@@ -31,99 +31,101 @@
 namespace jujubestand::gateway
 {
 
-/// \brief One call that is being served.
-struct live_call
+/// \brief A caller's request in progress.
+struct active_call
 {
     http1::exchange_id exchange;
-    traffic::caller_call asked;
-    /// As it was when the call came in.
+    traffic::caller_call caller_request;
+    /// Copy taken on arrival; later configuration changes do not affect it.
     traffic::route route;
     traffic::team team;
     mono_time arrived_at{};
     mono_time deadline{};
-    dispatch::call terms;
-    /// The send under way; default if there is none.
-    http1::call_id send;
+    dispatch::call dispatch_call;
+    /// Upstream request in flight; default-constructed if there is none.
+    http1::call_id upstream_call;
     std::string upstream;
     dispatch::upstream_key upstream_key = 0;
-    std::uint32_t sends = 0;
-    /// Sends after which the call may have run.
-    std::uint32_t runs = 0;
-    /// Worst over the sends that ended.
+    std::uint32_t upstream_attempts = 0;
+    /// Number of attempts that may have executed the call.
+    std::uint32_t possible_runs = 0;
+    /// Worst verdict over the attempts that ended.
     verdict outcome = verdict::not_run;
-    traffic::answer_head answer;
-    /// Body of an answer that is passed on whole.
-    std::string body;
+    traffic::answer_head response_head;
+    /// Buffered response body; streams are forwarded without buffering.
+    std::string response_body;
     event_stream events;
-    /// The caller has the head of the answer.
-    bool is_begun = false;
-    /// The answer under way is read, but not passed on.
-    bool is_ignored = false;
-    /// The upstream ran a failure that may be repeated elsewhere.
+    /// The response head was sent to the caller.
+    bool is_response_started = false;
+    /// The current upstream response is read but not forwarded.
+    bool is_response_discarded = false;
+    /// The upstream answered with a server error and the call may be
+    /// retried on another upstream.
     bool is_repeatable_failure = false;
 };
 
-/// \brief A store of parts whose events this gateway reads.
+/// \brief A store of cached prompt parts whose events this gateway reads.
 struct watched_store
 {
     status::cache_view cache;
-    bool is_asking = false;
-    bool is_alive = false;
+    bool is_poll_in_flight = false;
+    bool is_reachable = false;
     unsigned failures = 0;
-    mono_time next_at{};
+    mono_time next_poll_at{};
 };
 
-/// \brief One gateway process.
+/// \brief State of a gateway process.
 struct gateway_state
 {
     event_base* base = nullptr;
     node::settings settings;
     logs::log* log = nullptr;
-    std::unique_ptr<http1::client> calls;
-    std::unique_ptr<http1::client> upstreams;
-    std::unique_ptr<http1::server> callers;
-    std::unique_ptr<http1::server> readiness;
+    std::unique_ptr<http1::client> internal_client;
+    std::unique_ptr<http1::client> upstream_client;
+    std::unique_ptr<http1::server> caller_server;
+    std::unique_ptr<http1::server> readiness_server;
     std::unique_ptr<platform::store> store;
     std::unique_ptr<follow::follower> operator_topic;
     std::unique_ptr<follow::follower> upstream_topic;
-    /// Messages with agents and other gateways.
+    /// Status datagrams to and from agents and other gateways.
     std::unique_ptr<loop::datagrams> datagrams;
-    /// Serves records to other gateways.
-    std::unique_ptr<http1::server> records;
+    /// Serves store records to other gateways.
+    std::unique_ptr<http1::server> records_server;
     std::optional<loop::timer> tick_timer;
     std::optional<loop::timer> review_timer;
     std::optional<loop::timer> stop_timer;
-    /// `review_timer` runs.
-    bool is_review_planned = false;
+    /// `review_timer` is armed.
+    bool is_review_scheduled = false;
     follow::lapses lapses;
     std::optional<traffic::tables> tables;
     dispatch::state dispatch;
-    /// Repeated sends that are left, by pool.
-    std::map<std::string, retries::retry_budget> budgets;
-    /// The same for answers that have begun, when the others are spent.
-    std::map<std::string, retries::retry_budget> rescues;
-    std::unordered_map<dispatch::call_key, live_call> live;
-    std::map<http1::exchange_id, dispatch::call_key> by_exchange;
-    dispatch::call_key last_call = 0;
-    std::mt19937_64 draw;
+    /// Retry budget per pool.
+    std::map<std::string, retries::retry_budget> retry_budgets;
+    /// Second retry budget per pool, for responses that have started; used
+    /// once the first is exhausted.
+    std::map<std::string, retries::retry_budget> started_retry_budgets;
+    std::unordered_map<dispatch::call_key, active_call> active_calls;
+    std::map<http1::exchange_id, dispatch::call_key> call_by_exchange;
+    dispatch::call_key last_call_key = 0;
+    std::mt19937_64 random_engine;
     bool is_fresh = false;
-    bool is_stopping = false;
-    /// No call was open at the last check of a stop.
+    bool is_draining = false;
+    /// The previous drain check found the gateway idle.
     bool was_idle = false;
-    /// By address.
+    /// Keyed by store address.
     std::map<std::string, watched_store> watched_stores;
-    /// Answers that have begun and wait for the retry budget, with how their
-    /// last send ended.
-    std::map<dispatch::call_key, dispatch::send_outcome> suspended;
-    /// Paths of the records that are being fetched.
-    std::set<std::string> fetching;
-    gateway::questions questions;
-    followed_reader stores_from;
-    /// IP numbers of all gateways, those with the widest links first; empty
-    /// until agents tell.
-    std::vector<std::string> peers;
+    /// Calls whose response has started and that wait for retry budget, with
+    /// the outcome of the last attempt.
+    std::map<dispatch::call_key, dispatch::send_outcome> suspended_calls;
+    /// Paths of the record fetches in flight.
+    std::set<std::string> fetches_in_flight;
+    gateway::query_map status_queries;
+    followed_reader part_store_reader;
+    /// IP addresses of all gateways, highest link bandwidth first; empty until
+    /// an agent has reported them.
+    std::vector<std::string> gateway_hosts;
     mono_time started_at{};
-    mono_time stopping_since{};
+    mono_time drain_started_at{};
 };
 
 } // namespace jujubestand::gateway
