--- a/jujubestand/dispatch/choice.cpp
+++ b/jujubestand/dispatch/choice.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-/// What this process has sent to one engine and is not done with.
+/// Totals of this process's sends in flight to one engine.
 struct sent_tally
 {
-    /// Memory of sends that the engine's report does not contain.
+    /// Memory of sends that the engine's report does not include yet.
     double unreported_memory = 0;
     double unreported_tokens = 0;
     double reported_tokens = 0;
@@ -25,8 +25,8 @@
 
 using tallies = std::unordered_map<upstream_key, sent_tally>;
 
-// One pass over the sends for all engines: a gateway with many open calls
-// would spend its time on counting them for each engine anew.
+// Counts the sends of all engines in one pass: repeating the count for each
+// engine is too slow on a gateway with many open calls.
 tallies tally_sends(state const& all)
 {
     tallies result;
@@ -67,7 +67,7 @@
     auto const& report = one.load->report;
     double const taken =
         static_cast<double>(report.memory_used) + sent.unreported_memory;
-    // An idle engine makes room for any call that it can hold at all.
+    // An idle engine can free memory for any call that fits into it at all.
     if (taken == 0)
         return true;
     return taken + tokens <=
@@ -107,7 +107,7 @@
     return running * all.limits.running_cost_ms;
 }
 
-// A call that would not end before its engine loads weights.
+// Cost of a call that would not end before its engine loads weights.
 double interruption_cost(state const& all, upstream const& one,
                          call const& asked, double expected_ms, mono_time now)
 {
@@ -124,9 +124,9 @@
                     all.limits.interruption_cost_limit_ms);
 }
 
-// Prompt tokens that an engine has yet to read. It reports all
-// gateways' calls; of what was sent since, a gateway knows its own. Others do
-// as it does, most of all when calls wait.
+// Prompt tokens that an engine has yet to prefill. The engine's report covers
+// the calls of all gateways; of the sends since then, a gateway knows only its
+// own. It assumes that the others send alike, most of all when calls wait.
 double reading_backlog(state const& all, upstream const& one,
                        sent_tally const& sent)
 {
@@ -200,7 +200,8 @@
 std::optional<choice> weigh_plain(state const& all, upstream const& one,
                                   mono_time now)
 {
-    // A service queues a few calls beyond its slots; our share of both.
+    // A service queues a few calls beyond its slots; the limit is this
+    // gateway's share of both.
     constexpr std::uint32_t queue_factor = 4;
     constexpr std::uint32_t share_min = 3;
     constexpr double open_call_cost_ms = 40;
--- a/jujubestand/dispatch/choice.hpp
+++ b/jujubestand/dispatch/choice.hpp
@@ -7,7 +7,7 @@
 namespace jujubestand::dispatch
 {
 
-/// \brief An upstream that can take a call now.
+/// \brief An upstream that can take a call now, with the expected costs.
 struct choice
 {
     upstream_key upstream = 0;
@@ -20,8 +20,9 @@
     double memory_tokens = 0;
 };
 
-/// \brief The upstream with the least expected time to the first output;
-/// nothing if none can take the call now.
+/// \brief Selects the upstream with the least expected time to the first
+/// output.
+/// \returns nothing if no upstream can take the call now
 [[nodiscard]] std::optional<choice> choose(state const& all, call const& asked,
                                            mono_time now);
 
--- a/jujubestand/dispatch/dispatch.cpp
+++ b/jujubestand/dispatch/dispatch.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Callers that find no upstream come back after this.
+/// Retry-after of calls that find no upstream.
 constexpr std::chrono::milliseconds nothing_usable_pause{500};
 
 decision refuse(call const& asked, reason why,
@@ -32,7 +32,8 @@
     return result;
 }
 
-// The agent tells what is cached only after the engine has read it.
+// Marks the shared parts of a sent prompt as expected: the agent reports them
+// only after the engine has prefilled them.
 void expect_parts(upstream& one, call const& asked, choice const& chosen,
                   mono_time now)
 {
@@ -78,8 +79,8 @@
     return result;
 }
 
-// Whether one call goes before another: the more urgent, then the one whose
-// target comes first, so that calls with a long target do not starve.
+// Orders calls by priority, then by the time of arrival plus target latency, so
+// that calls with a long target latency do not starve.
 bool goes_before(call const& left, call const& right)
 {
     if (left.priority != right.priority)
@@ -99,8 +100,8 @@
                   "no upstream has room in time", asked.pool};
 }
 
-// How long until the calls that wait before this one are read, if our share
-// of the usable engines reads nothing else.
+// Time to prefill the calls that wait ahead of this one, if this gateway's
+// share of the available engines prefills nothing else.
 double expected_wait_ms(state const& all, call const& asked, mono_time now)
 {
     double tokens = 0;
--- a/jujubestand/dispatch/dispatch.hpp
+++ b/jujubestand/dispatch/dispatch.hpp
@@ -7,21 +7,22 @@
 namespace jujubestand::dispatch
 {
 
-/// \brief Decides on a call that came in, or that comes back after an
-/// upstream did not run it: where it goes, or that it waits, or that it
-/// can't be served and when its caller should come back.
+/// \brief Decides on a new call, or on one that an upstream did not run:
+/// sends it, queues it, or refuses it with a time after which the caller should
+/// retry.
 [[nodiscard]] decision submit(state& all, call const& asked, mono_time now);
 
-/// \brief Decides on the calls that wait, most urgent first, after anything
-/// changed or time went by. Calls that go on waiting are not listed.
+/// \brief Decides again on the waiting calls, most urgent first; to be called
+/// after each change of the state and periodically.
+/// \returns decisions on the calls that stop waiting
 [[nodiscard]] std::vector<decision> review(state& all, mono_time now);
 
-/// \brief Whether a call that runs at an upstream could go to another one at
-/// once.
+/// \brief Whether a call that runs at an upstream could be sent to another one
+/// immediately.
 [[nodiscard]] bool has_alternative(state const& all, call const& asked,
                                    upstream_key besides, mono_time now);
 
-/// \brief A waiting call's caller left.
+/// \brief Removes a waiting call whose caller has disconnected.
 void forget(state& all, call_key call);
 
 } // namespace jujubestand::dispatch
--- a/jujubestand/dispatch/parts.cpp
+++ b/jujubestand/dispatch/parts.cpp
@@ -20,8 +20,8 @@
     return result;
 }
 
-/// Tokens of the shared parts that are held, from the first part on: a part
-/// serves only if all before it are there.
+/// Tokens of the longest cached prefix: a cached part is usable only if all
+/// parts before it are cached.
 template <class TokensHeld>
 double held_in_order(prompt_split const& split,
                      std::vector<status::part_hash> const& hashes,
@@ -94,7 +94,8 @@
         });
 }
 
-// For each version of the weights, since parts of one serve no other.
+// One source for each version of the weights, since cached parts of one version
+// can't be used with another.
 std::vector<source> find_sources(state const& all, call const& asked,
                                  prompt_split const& split, mono_time now)
 {
@@ -138,7 +139,6 @@
     return {};
 }
 
-// The store that should keep parts which nobody holds.
 std::optional<address> store_for(state const& all, call const& asked,
                                  prompt_split const& split, double read_tokens,
                                  mono_time now)
--- a/jujubestand/dispatch/parts.hpp
+++ b/jujubestand/dispatch/parts.hpp
@@ -5,29 +5,30 @@
 #include <optional>
 #include <vector>
 
-/// \brief Who holds the parts of a prompt.
+/// \brief Location of cached prompt parts.
 namespace jujubestand::dispatch
 {
 
-/// \brief A prompt's parts that others share, and those that are its own.
+/// \brief The parts that a prompt shares with others, and the size of its own
+/// part.
 struct prompt_split
 {
     std::vector<traffic::prompt_part> shared;
     double shared_tokens = 0;
     double own_tokens = 0;
-    /// Part that decides which engine is the prompt's home.
+    /// Part whose hash selects the prompt's home engine.
     std::uint64_t home_part = 0;
 };
 
 [[nodiscard]] prompt_split split_of(traffic::prompt const& asked);
 
 /// \brief Tokens of a prompt's shared parts that an engine holds under one
-/// version of the weights, those included that it is about to read.
+/// version of the weights, including those that it is about to prefill.
 [[nodiscard]] double cached_tokens(state const& all, upstream const& one,
                                    call const& asked, prompt_split const& split,
                                    std::uint64_t weights, mono_time now);
 
-/// \brief An engine or a store that holds most of a prompt's shared parts.
+/// \brief The engine or store that holds the most of a prompt's shared parts.
 struct source
 {
     std::uint64_t weights = 0;
@@ -43,18 +44,18 @@
                                                prompt_split const& split,
                                                mono_time now);
 
-/// \brief The source for one version; without tokens if there is none.
+/// \brief The source for one weights version; has 0 tokens if there is none.
 [[nodiscard]] source source_for(std::vector<source> const& all,
                                 std::uint64_t weights);
 
-/// \brief The store that should keep what an engine reads of shared parts.
-/// \param read_tokens tokens that nobody holds
+/// \brief The store to save shared parts to after an engine has prefilled them.
+/// \param read_tokens shared tokens that no engine or store holds
 [[nodiscard]] std::optional<address>
 store_for(state const& all, call const& asked, prompt_split const& split,
           double read_tokens, mono_time now);
 
-/// \brief Text that a call's parts are cached under: other weights, or an
-/// isolated team, never meet.
+/// \brief Key prefix of a call's cached parts; keeps the parts of different
+/// weights and of isolated teams apart.
 [[nodiscard]] std::string cache_scope(std::string const& owner,
                                       std::uint64_t weights);
 
--- a/jujubestand/dispatch/standing.hpp
+++ b/jujubestand/dispatch/standing.hpp
@@ -3,19 +3,20 @@
 
 #include <jujubestand/dispatch/types.hpp>
 
-/// \brief Whether an upstream takes calls at all.
+/// \brief Availability of upstreams and of their weights.
 namespace jujubestand::dispatch
 {
 
-/// \brief Whether an engine's report is recent enough to go by.
+/// \brief Whether an engine's report is recent enough to be used.
 [[nodiscard]] bool is_fresh(state const& all, upstream const& one,
                             mono_time now);
 
-/// \brief Whether an upstream takes calls, with or without room.
+/// \brief Whether an upstream accepts calls, regardless of free capacity.
 [[nodiscard]] bool is_in_use(state const& all, upstream const& one,
                              mono_time now);
 
-/// \brief Upstreams of a pool that take calls, whether they have room or not.
+/// \brief Number of upstreams of a pool that accept calls, regardless of free
+/// capacity.
 [[nodiscard]] std::size_t usable(state const& all, std::string const& pool,
                                  mono_time now);
 
@@ -23,13 +24,13 @@
 struct weights_standing
 {
     bool is_allowed = false;
-    /// Newer ones are wanted.
+    /// The operator has requested newer weights.
     bool is_old = false;
     std::uint64_t version = 0;
     double cost_ms = 0;
 };
 
-/// \brief How an engine's weights stand to those that are wanted.
+/// \brief Compares an engine's weights with the wanted version.
 [[nodiscard]] weights_standing weights_of(state const& all, upstream const& one,
                                           std::string const& model,
                                           mono_time now);
--- a/jujubestand/dispatch/test/dispatch_test.cpp
+++ b/jujubestand/dispatch/test/dispatch_test.cpp
@@ -3,7 +3,7 @@
 #include <jujubestand/dispatch/test/fleet.hpp>
 #include <set>
 
-// Each test names the pattern of load that the decision answers.
+// Dispatch decisions under typical load patterns.
 namespace jujubestand::dispatch
 {
 
@@ -54,7 +54,7 @@
         auto const made = submit(all, prompt_call(key, 77), at(10));
         if (made.what != action::send)
             continue;
-        // What was sent there before brings the parts along.
+        // A second send to an engine finds the parts brought by the first.
         bool const is_first = used.insert(made.upstream).second;
         bool const is_holder = made.upstream == engine(all, 3).key;
         EXPECT_EQ(made.fetch_from.has_value(), is_first && !is_holder);
@@ -142,7 +142,7 @@
     on_load(all, engine(all, 2).key, loaded);
     EXPECT_EQ(submit(all, prompt_call(1, 77), at(2'000)).upstream,
               engine(all, 2).key);
-    // Past the bound only new weights may be begun on.
+    // After `weights_lag`, calls begin only on the wanted weights.
     for (int number : {1, 2, 3})
         engine(all, number).load->at = at(5'990);
     engine(all, 2).avoid_until = at(7'000);
@@ -150,8 +150,8 @@
               action::hold);
 }
 
-// After a change of weights, engines that had not loaded yet read again what
-// others of them had read and dropped with their load.
+// After a change of weights, engines still on the old weights prefilled shared
+// parts again that other engines had prefilled before and dropped on loading.
 TEST(dispatch, shared_parts_are_read_on_the_new_weights_of_a_busier_engine)
 {
     auto all = fleet(2);
--- a/jujubestand/dispatch/test/fleet.hpp
+++ b/jujubestand/dispatch/test/fleet.hpp
@@ -7,7 +7,7 @@
 #include <jujubestand/dispatch/upstreams.hpp>
 #include <string>
 
-/// \brief Engines and calls for the tests of this folder.
+/// \brief Engines and calls for the dispatch tests.
 namespace jujubestand::dispatch
 {
 
--- a/jujubestand/dispatch/test/upstreams_test.cpp
+++ b/jujubestand/dispatch/test/upstreams_test.cpp
@@ -2,7 +2,7 @@
 #include <jujubestand/dispatch/dispatch.hpp>
 #include <jujubestand/dispatch/test/fleet.hpp>
 
-// What is believed of upstreams that fail, restart or are replaced.
+// State of upstreams that fail, restart or are replaced.
 namespace jujubestand::dispatch
 {
 
@@ -26,8 +26,8 @@
     EXPECT_LT(recent_failures(all, bad, at(20'000)), 0.1);
 }
 
-// Seen on a day on which engines restarted: the older of two records of one
-// address was taken for the engine, and all orders and calls missed it.
+// When engines restarted, the older of two records of one address was taken for
+// the engine, so that no order or call reached it.
 TEST(upstreams, the_upstream_that_started_last_has_the_address)
 {
     auto all = fleet(2);
@@ -75,8 +75,8 @@
     EXPECT_EQ(submit(all, again, at(10)).what, action::hold);
 }
 
-// A stream that left an engine before a load, and then waited in a queue, stood
-// still for over a second, and was lost with the gateway that stopped.
+// A stream that was moved off an engine before a load of weights and then had
+// to queue stalled for over a second, and was lost when its gateway stopped.
 TEST(upstreams, a_call_has_no_alternative_while_all_others_are_out)
 {
     auto all = fleet(2);
--- a/jujubestand/dispatch/types.hpp
+++ b/jujubestand/dispatch/types.hpp
@@ -21,101 +21,102 @@
 namespace jujubestand::dispatch
 {
 
-/// \brief Names one call for as long as its gateway handles it.
+/// \brief Identifies one call while its gateway handles it.
 using call_key = std::uint64_t;
 
-/// \brief Names one upstream of this process; never used again.
+/// \brief Identifies one upstream within this process; never reused.
 using upstream_key = std::uint32_t;
 
-/// \brief Limits and weights of the decisions.
+/// \brief Limits and cost weights of the dispatch decisions.
 struct options
 {
-    /// Speed at which engines read prompts.
+    /// Prefill speed of an engine.
     double reading_tokens_per_ms = 40;
-    /// Prompts handed to an engine that it has not read yet, as time.
+    /// Limit of an engine's prefill backlog, as the time to work it off.
     double reading_backlog_limit_ms = 220;
-    /// Cost of another running call, which slows all of an engine's steps.
+    /// Cost of each running call, since it slows all steps of the engine.
     double running_cost_ms = 0.7;
     /// Time to fetch a cached token from another engine.
     double fetch_ms_per_token = 0.002;
-    /// Time to fetch a token from a store of parts.
+    /// Time to fetch a cached token from a part store.
     double store_fetch_ms_per_token = 0.01;
-    /// Shared tokens that are worth a place in a store.
+    /// Fewest shared tokens that are worth saving to a part store.
     double save_tokens_min = 1'000;
-    /// Parts are saved once weights are this old: newer ones may be replaced
-    /// before anybody asks for the parts again.
+    /// Parts are saved only once the wanted weights are this old: newer ones
+    /// may be replaced before another call needs the parts.
     std::chrono::milliseconds save_weights_age{2'000};
-    /// Cost of one more copy of cached parts, for the memory that it takes.
+    /// Cost of one more copy of cached parts, for the memory it occupies.
     double copy_cost_ms = 30;
-    /// Cost of a shared token that is read away from the prompt's home: it
-    /// will be read there as well.
+    /// Cost of prefilling a shared token on another engine than the prompt's
+    /// home, which will have to prefill it as well.
     double reread_cost_ms_per_token = 0.03;
-    /// Cost of a shared token that is read on weights which are about to be
-    /// replaced: some engine has read it before, and nobody asks for it again.
+    /// Cost of prefilling a shared token on weights that are about to be
+    /// replaced: an engine has prefilled it before, and no later call uses it.
     double old_reread_cost_ms_per_token = 0.06;
-    /// Parts of our own sends count as cached for this long without word of
-    /// the agent.
+    /// Parts that this gateway sent to an engine count as cached for this long
+    /// without confirmation by the agent.
     std::chrono::milliseconds expected_parts_limit{1'200};
-    /// Cost of an upstream that failed lately, per failure.
+    /// Cost per recent failure of an upstream.
     double failure_cost_ms = 250;
     /// Share of an engine's memory that calls may fill.
     double memory_share = 0.96;
-    /// Time in which engines make a token.
+    /// Decode time per output token.
     double output_ms_per_token = 4.5;
-    /// Cost of a call that would still run when its engine is to load
-    /// weights, as a share of its duration: it holds the load up, or moves.
+    /// Cost of a call that would still run when its engine is due to load
+    /// weights, as a share of its duration: the call either delays the load or
+    /// has to move to another engine.
     double interruption_cost_share = 0.25;
     double interruption_cost_limit_ms = 400;
-    /// Calls that begin on older weights than wanted are worth less after
-    /// this.
+    /// A call that begins on older weights than wanted incurs
+    /// `old_weights_cost_ms` after this time.
     std::chrono::milliseconds weights_grace{900};
     double old_weights_cost_ms = 400;
-    /// Calls do not begin on older weights after this.
+    /// No call begins on older weights than wanted after this time.
     std::chrono::milliseconds weights_lag{5'000};
     /// Shortest time in which a call can be served.
     std::chrono::milliseconds service_time_min{60};
-    /// Time that a caller needs to come back before it gives up.
+    /// Time that a caller needs to retry before its own timeout.
     std::chrono::milliseconds return_margin{50};
     std::chrono::milliseconds avoid_base{250};
     std::chrono::milliseconds avoid_limit{2'000};
     std::chrono::milliseconds failure_half_life{2'500};
-    /// A report that is older says nothing of the load.
+    /// An older report does not reflect the current load.
     std::chrono::milliseconds report_age_limit{1'500};
     std::size_t waiting_limit = 2'000;
 };
 
-/// \brief Newest report of an engine, and when it was true.
+/// \brief Latest report of an engine and the time that it describes.
 struct engine_load
 {
     status::engine_report report;
     mono_time at{};
-    /// Its agent can't reach it.
+    /// The agent can't reach the engine.
     bool is_down = false;
-    /// It is about to load weights: new calls would only be refused.
+    /// The engine is about to load weights and would refuse new calls.
     bool is_preparing = false;
-    /// When it is to load weights, if that is known.
+    /// When the engine is due to load weights, if known.
     std::optional<mono_time> load_due_at;
 };
 
-/// \brief One call that is to be served.
+/// \brief One call to dispatch.
 struct call
 {
     call_key key = 0;
     std::string pool;
-    /// Empty where the pool's upstreams are no engines.
+    /// Empty if the pool's upstreams are not model engines.
     std::optional<traffic::prompt> asked;
-    /// Whom the cached parts are for: an isolated team, or all others.
+    /// Owner of the cached parts: an isolated team, or all other teams.
     std::string cache_owner;
     /// 0 is the most urgent.
     std::uint8_t priority = 5;
     mono_time arrived_at{};
     mono_time deadline{};
     std::chrono::milliseconds target_latency{1'000};
-    /// Upstreams that it was sent to already.
+    /// Upstreams that the call was already sent to.
     std::vector<upstream_key> tried;
 };
 
-/// \brief What the call does next.
+/// \brief Next step of a call.
 enum class action : std::uint8_t
 {
     send,
@@ -123,14 +124,13 @@
     refuse,
 };
 
-/// \brief Names of the actions.
 inline constexpr std::array<enum_name<action>, 3> action_names{{
     {action::send, "send"},
     {action::hold, "hold"},
     {action::refuse, "refuse"},
 }};
 
-/// \brief A decision on one call.
+/// \brief Dispatch decision for one call.
 struct decision
 {
     call_key call = 0;
@@ -139,11 +139,12 @@
     upstream_key upstream = 0;
     /// For `send` to an engine: the weights that the call runs on.
     std::optional<std::uint64_t> weights;
-    /// For `send` to an engine: may hold parts of the prompt.
+    /// For `send` to an engine: an engine or a store that may hold parts of
+    /// the prompt.
     std::optional<address> fetch_from;
-    /// For `send` to an engine: a store that should keep what is read.
+    /// For `send` to an engine: a store to save the prefilled parts to.
     std::optional<address> save_to;
-    /// Tokens of the prompt that are believed cached there, for the log.
+    /// Prompt tokens presumed cached at the upstream, for the log.
     double cached_tokens = 0;
     /// Expected time to the first output, for the log.
     double expected_ms = 0;
@@ -155,15 +156,14 @@
 /// \brief How one send of a call ended.
 enum class send_outcome : std::uint8_t
 {
-    served,      ///< a whole answer
-    refused,     ///< the upstream did not run it
-    failed,      ///< an answer that reports a failure
+    served,      ///< complete answer
+    refused,     ///< the upstream did not run the call
+    failed,      ///< answer that reports a failure
     unreachable, ///< nothing could be sent
-    cut,         ///< no whole answer
-    cancelled,   ///< we gave it up
+    cut,         ///< incomplete answer
+    cancelled,   ///< cancelled by this process
 };
 
-/// \brief Names of the outcomes.
 inline constexpr std::array<enum_name<send_outcome>, 6> send_outcome_names{{
     {send_outcome::served, "served"},
     {send_outcome::refused, "refused"},
@@ -173,58 +173,59 @@
     {send_outcome::cancelled, "cancelled"},
 }};
 
-/// \brief One send that has not ended.
+/// \brief One send in flight.
 struct open_send
 {
     upstream_key upstream = 0;
     mono_time at{};
-    /// Tokens that the engine has to read, until its first output.
+    /// Prompt tokens that the engine prefills before its first output.
     double reading_tokens = 0;
-    /// Memory that it takes at the engine.
+    /// Cache memory that the call occupies at the engine.
     double memory_tokens = 0;
     bool is_reading = true;
 };
 
-/// \brief What this process knows of one upstream.
+/// \brief State of one upstream as seen by this process.
 struct upstream
 {
     upstream_key key = 0;
     traffic::upstream_record record;
-    /// Another upstream has its address now.
+    /// Another upstream has taken over the address.
     bool is_replaced = false;
     std::uint64_t name_hash = 0;
     std::optional<engine_load> load;
-    /// Parts of prompts that it has cached, by its agent.
+    /// Cached parts of prompts, as reported by the agent.
     status::cache_copy cache;
-    /// Parts that our own sends bring there, until the agent tells.
+    /// Parts that this process's own sends bring to the upstream, until the
+    /// agent reports them; with the time of the send.
     std::unordered_map<status::part_hash, mono_time> expected_parts;
-    /// Newest known weights of each model.
+    /// Highest known weights version of each model.
     std::map<std::string, std::uint64_t> versions;
-    /// Sends of this process that have not ended.
+    /// Sends of this process in flight.
     std::uint32_t open_calls = 0;
-    /// Failures of late, halved over time.
+    /// Recent failures at `failures_at`; decays by `failure_half_life`.
     double failures = 0;
     mono_time failures_at{};
     mono_time avoid_until{};
 };
 
-/// \brief A store of cached parts, as this process knows it.
+/// \brief A store of cached parts as seen by this process.
 struct part_store
 {
     address where;
-    /// Its events can be read.
+    /// The events of the store can be read.
     bool is_alive = false;
     status::cache_copy cache;
 };
 
-/// \brief The weights that the operator wants of one model.
+/// \brief Weights version that the operator requested for one model.
 struct wanted
 {
     std::uint64_t version = 0;
     mono_time since{};
 };
 
-/// \brief All that the decisions stand on.
+/// \brief State that the dispatch decisions are based on.
 struct state
 {
     options limits;
@@ -235,9 +236,9 @@
     std::map<std::string, wanted> weights;
     std::vector<part_store> stores;
     upstream_key last_key = 0;
-    /// Gateways that share the upstreams, this one included.
+    /// Number of gateways that share the upstreams, including this one.
     std::uint32_t gateways = 1;
-    /// Mean size of prompts seen, for work of other gateways.
+    /// Mean prompt size, used to estimate the work of other gateways.
     double mean_reading_tokens = 2'000;
     std::string data_center;
 };
--- a/jujubestand/dispatch/upstreams.cpp
+++ b/jujubestand/dispatch/upstreams.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// An answer that reports a failure says less of an upstream than no answer.
+/// An answer that reports a failure is weaker evidence of a faulty upstream
+/// than no answer.
 constexpr double failed_weight = 0.4;
 constexpr double unreachable_weight = 2.0;
 constexpr double failures_limit = 8.0;
@@ -46,7 +47,8 @@
     return 0;
 }
 
-// A refusal means that the upstream is full or loads weights: a short pause.
+// A refusal means that the upstream is full or loads weights, so it is avoided
+// only briefly.
 void judge(state const& all, upstream& one, send_outcome outcome, mono_time now)
 {
     double const before = recent_failures(all, one, now);
@@ -74,7 +76,7 @@
     }
 }
 
-// Two upstreams can't have one address: the one that started later has it.
+// Two upstreams can't share an address: the one that started later owns it.
 void replace_others(state& all, upstream& newcomer,
                     traffic::upstream_record const& record)
 {
@@ -114,7 +116,7 @@
     }
     if (is_new)
         replace_others(all, one, record);
-    // An upstream that leaves does not come back in the same life.
+    // A leaving upstream stays leaving until its process restarts.
     bool const was_leaving = one.record.is_leaving && !is_restarted;
     one.record = record;
     one.record.is_leaving = record.is_leaving || was_leaving;
@@ -198,7 +200,7 @@
     upstream const* result = nullptr;
     for (auto const& [key, one] : all.upstreams)
     {
-        // The newest one, if an older one at that host still lingers.
+        // Prefers the newest one if an older one is still registered.
         bool const is_newer =
             result == nullptr || result->is_replaced || !one.is_replaced;
         if (one.record.where.host == host && is_newer)
--- a/jujubestand/dispatch/upstreams.hpp
+++ b/jujubestand/dispatch/upstreams.hpp
@@ -7,43 +7,44 @@
 namespace jujubestand::dispatch
 {
 
-/// \brief Takes in what an upstream registered of itself.
-/// \returns whether it is new
+/// \brief Adds or updates an upstream from its registration record.
+/// \returns whether the upstream is new
 bool on_record(state& all, traffic::upstream_record const& record);
 
-/// \brief An upstream is gone.
+/// \brief Removes an upstream that is no longer registered.
 void on_removed(state& all, std::string const& id);
 
-/// \brief An upstream refused a call that was meant for another one.
+/// \brief Handles the refusal of a call by an upstream that it was not meant
+/// for.
 void on_misdirected(state& all, upstream_key of);
 
-/// \brief Takes in an engine's report.
+/// \brief Stores the latest load report of an engine.
 void on_load(state& all, upstream_key of, engine_load const& load);
 
-/// \brief Takes in what changed in an engine's cache.
+/// \brief Applies changes of an engine's cache.
 void on_cache(state& all, upstream_key of, status::cache_delta const& delta);
 
-/// \brief An answer told the weights that a model runs on.
+/// \brief Records the weights version that an answer was generated with.
 void on_weights_seen(state& all, upstream_key of, std::string const& model,
                      std::uint64_t version);
 
-/// \brief The operator wants other weights.
-/// \param since when they were named, at the latest
+/// \brief Sets the weights version that the operator requested for a model.
+/// \param since latest time at which it can have been requested
 void on_wanted_weights(state& all, std::string const& model,
                        std::uint64_t version, mono_time since);
 
-/// \brief The first output of a send came.
+/// \brief Records that the first output of a send has arrived.
 void on_first_output(state& all, call_key call);
 
-/// \brief A send ended; its upstream's standing follows from how.
+/// \brief Ends a send and updates the failure state of its upstream.
 void on_send_end(state& all, call_key call, send_outcome outcome,
                  mono_time now);
 
-/// \brief The upstream that an engine at an IP number is, if there is one.
+/// \brief The upstream at an IP address, or null if there is none.
 [[nodiscard]] upstream const* find_by_host(state const& all,
                                            std::string const& host);
 
-/// \brief Failures of late of an upstream.
+/// \brief Decayed count of an upstream's recent failures.
 [[nodiscard]] double recent_failures(state const& all, upstream const& one,
                                      mono_time now);
 
