--- a/jujubestand/retries/circuit.cpp
+++ b/jujubestand/retries/circuit.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::uint32_t doublings_limit = 16;
 
-/// Half of the pause is drawn, so that entries do not try together.
+/// Half of the pause is random, so that entries do not send their trial
+/// requests at the same time.
 microseconds pause(circuit_options const& options, std::uint32_t openings,
                    std::uint64_t draw) noexcept
 {
--- a/jujubestand/retries/retry.cpp
+++ b/jujubestand/retries/retry.cpp
@@ -30,8 +30,8 @@
     return true;
 }
 
-/// Full jitter: anything from 0 to the bound, which doubles per attempt, so
-/// that those that failed together do not come back together.
+/// Exponential backoff with full jitter, from 0 to a bound that doubles per
+/// attempt, so that requests that failed together are not retried together.
 microseconds backoff(retry_options const& options, std::uint32_t attempts,
                      std::uint64_t draw)
 {
@@ -44,8 +44,8 @@
     return microseconds(static_cast<std::int64_t>(draw % range));
 }
 
-/// Time to wait: a refusing upstream's advice counts only where there is
-/// nobody else to ask.
+/// Delay before the next attempt: a refusing upstream's `retry_after` applies
+/// only if there is no other upstream to try.
 microseconds delay_of(retry_options const& options,
                       request_progress const& progress,
                       attempt_failure const& failure, std::uint64_t draw)
--- a/jujubestand/retries/retry.hpp
+++ b/jujubestand/retries/retry.hpp
@@ -16,36 +16,36 @@
     std::uint32_t attempts_limit = 4;
     /// Retries and hedges per first attempt, in the long run.
     double budget_ratio = 0.1;
-    /// Retries that an entry may always have saved up.
+    /// Most retries that an entry can save up.
     double budget_limit = 20.0;
     /// Retries allowed per second, however little traffic there is.
     double budget_per_second = 0.5;
     std::chrono::milliseconds backoff_base{10};
     std::chrono::milliseconds backoff_limit{1'000};
-    /// A retry that leaves less than this before the deadline is no use.
+    /// Retries with less time than this before the deadline are not made.
     std::chrono::milliseconds time_left_min{20};
-    /// A hedge starts when a first token is later than this many times the
-    /// slowest usual one.
+    /// A hedge starts when the first token takes longer than this multiple of
+    /// the time that nearly all first tokens come within.
     double hedge_factor = 2.0;
     std::chrono::milliseconds hedge_delay_min{50};
 };
 
-/// \brief Retries saved up; starts full, so that a restarted entry can serve
-/// through a failure, and never above its limit.
+/// \brief Token bucket of retries, bounded by `budget_limit`. Starts full, so
+/// that a restarted entry can retry through a failure.
 struct retry_budget
 {
     double saved = 20.0;
     mono_time refilled_at;
 };
 
-/// \brief What is known of a request after a failed attempt.
+/// \brief State of a request after a failed attempt.
 struct request_progress
 {
     std::uint32_t attempts = 1;
-    /// Worst verdict over its attempts so far, this failure's included.
+    /// Worst verdict of the attempts so far, including this failure.
     verdict worst = verdict::not_run;
     bool is_idempotent = false;
-    /// The caller has bytes of an answer already.
+    /// Part of an answer has already been sent to the caller.
     bool has_output = false;
     mono_time deadline;
 };
@@ -56,10 +56,10 @@
     verdict outcome = verdict::may_have_run;
     reason why;
     microseconds retry_after{0};
-    /// Another upstream can be asked at once, whatever `retry_after` says.
+    /// Another upstream can be tried immediately, regardless of `retry_after`.
     bool has_alternative = false;
-    /// Something of it reached an upstream. What did not is no load there, so
-    /// the next attempt costs no budget.
+    /// Part of the attempt reached an upstream. If nothing did, the upstream
+    /// bore no load and the next attempt costs no budget.
     bool has_arrived = true;
 };
 
@@ -68,24 +68,25 @@
 {
     bool is_retry = false;
     mono_time at;
-    /// Why not; set where `is_retry` is false.
+    /// Set if `is_retry` is false.
     reason_code why = reason_code::none;
 };
 
-/// \brief A first attempt was made: saves up a share of a retry.
+/// \brief Records a first attempt, which adds `budget_ratio` to the budget.
 void take_request(retry_budget& budget, retry_options const& options,
                   mono_time now);
 
-/// \brief Decides from the verdict alone whether a retry is allowed, and
-/// from budget, attempts and deadline whether it is worth it.
-/// \param draw random bits of the caller's, for the jitter
+/// \brief Decides whether to retry: the verdict alone determines whether a
+/// retry is safe; budget, attempts and deadline whether it is worthwhile.
+/// \param draw random bits for the jitter
 [[nodiscard]] retry_decision decide(retry_budget& budget,
                                     retry_options const& options,
                                     request_progress const& progress,
                                     attempt_failure const& failure,
                                     mono_time now, std::uint64_t draw);
 
-/// \brief Whether a second attempt may run beside the first.
+/// \brief Whether a hedge, which is a second attempt in parallel to the first,
+/// may start; spends budget if so.
 /// \param first_token_usual time that nearly all first tokens come within
 [[nodiscard]] bool may_hedge(retry_budget& budget, retry_options const& options,
                              request_progress const& progress,
