--- a/jujubestand/dispatch/choice.cpp
+++ b/jujubestand/dispatch/choice.cpp
@@ -14,7 +14,7 @@
 {
 
 /// Totals of this process's sends in flight to one engine.
-struct sent_tally
+struct send_tally
 {
     /// Memory of sends that the engine's report does not include yet.
     double unreported_memory = 0;
@@ -23,17 +23,17 @@
     double reported_calls = 0;
 };
 
-using tallies = std::unordered_map<upstream_key, sent_tally>;
+using tallies = std::unordered_map<upstream_key, send_tally>;
 
 // Counts the sends of all engines in one pass: repeating the count for each
 // engine is too slow on a gateway with many open calls.
-tallies tally_sends(state const& all)
+tallies tally_sends(state const& dispatcher)
 {
     tallies result;
-    for (auto const& [key, send] : all.sends)
+    for (auto const& [key, send] : dispatcher.sends)
     {
-        auto const found = all.upstreams.find(send.upstream);
-        if (found == all.upstreams.end())
+        auto const found = dispatcher.upstreams.find(send.upstream);
+        if (found == dispatcher.upstreams.end())
             continue;
         auto const& load = found->second.load;
         bool const is_reported = load && send.at <= load->at;
@@ -53,152 +53,165 @@
     return result;
 }
 
-sent_tally tally_of(tallies const& all, upstream_key key)
+send_tally find_tally(tallies const& tallies_by_key, upstream_key key)
 {
-    auto const found = all.find(key);
-    return found == all.end() ? sent_tally{} : found->second;
+    auto const found = tallies_by_key.find(key);
+    return found == tallies_by_key.end() ? send_tally{} : found->second;
 }
 
-bool has_memory(state const& all, upstream const& one, sent_tally const& sent,
-                double tokens)
+bool has_memory(state const& dispatcher, upstream const& target,
+                send_tally const& in_flight, double tokens)
 {
-    if (!one.load || one.load->report.memory_total == 0)
+    if (!target.load || target.load->report.memory_total == 0)
         return true;
-    auto const& report = one.load->report;
+    auto const& report = target.load->report;
     double const taken =
-        static_cast<double>(report.memory_used) + sent.unreported_memory;
+        static_cast<double>(report.memory_used) + in_flight.unreported_memory;
     // An idle engine can free memory for any call that fits into it at all.
     if (taken == 0)
         return true;
-    return taken + tokens <=
-           all.limits.memory_share * static_cast<double>(report.memory_total);
+    return taken + tokens <= dispatcher.limits.memory_share *
+                                 static_cast<double>(report.memory_total);
 }
 
-upstream const* home_of(state const& all, std::string const& pool,
-                        std::uint64_t part, mono_time now)
+upstream const* home_engine(state const& dispatcher, std::string const& pool,
+                            std::uint64_t part, mono_time now)
 {
     upstream const* best = nullptr;
     double best_score = -1;
-    for (auto const& [key, one] : all.upstreams)
+    for (auto const& [key, target] : dispatcher.upstreams)
     {
-        if (one.record.pool != pool || !is_in_use(all, one, now))
+        if (target.record.pool != pool ||
+            !is_available(dispatcher, target, now))
             continue;
         double const score =
-            placement::rendezvous_score(part, one.name_hash, 1.0);
+            placement::rendezvous_score(part, target.name_hash, 1.0);
         if (score > best_score)
         {
             best_score = score;
-            best = &one;
+            best = &target;
         }
     }
     return best;
 }
 
-double failure_cost(state const& all, upstream const& one, mono_time now)
+double failure_cost(state const& dispatcher, upstream const& target,
+                    mono_time now)
 {
-    return recent_failures(all, one, now) * all.limits.failure_cost_ms;
+    return recent_failures(dispatcher, target, now) *
+           dispatcher.limits.failure_cost_ms;
 }
 
-double running_cost(state const& all, upstream const& one, mono_time now)
+double running_cost(state const& dispatcher, upstream const& target,
+                    mono_time now)
 {
-    double const running = is_fresh(all, one, now)
-                               ? one.load->report.running
-                               : one.open_calls * all.gateways;
-    return running * all.limits.running_cost_ms;
+    double const running = has_fresh_report(dispatcher, target, now)
+                               ? target.load->report.running
+                               : target.open_calls * dispatcher.gateways;
+    return running * dispatcher.limits.running_cost_ms;
 }
 
 // Cost of a call that would not end before its engine loads weights.
-double interruption_cost(state const& all, upstream const& one,
-                         call const& asked, double expected_ms, mono_time now)
+double interruption_cost(state const& dispatcher, upstream const& target,
+                         call const& request, double expected_ms, mono_time now)
 {
-    if (!one.load || !one.load->load_due_at)
+    if (!target.load || !target.load->load_due_at)
         return 0;
     using milliseconds = std::chrono::duration<double, std::milli>;
-    double const left_ms = milliseconds(*one.load->load_due_at - now).count();
-    double const output_ms =
-        asked.asked->output_tokens_expected * all.limits.output_ms_per_token;
+    double const left_ms =
+        milliseconds(*target.load->load_due_at - now).count();
+    double const output_ms = request.asked->output_tokens_expected *
+                             dispatcher.limits.output_ms_per_token;
     double const duration_ms = expected_ms + output_ms;
     if (duration_ms <= left_ms)
         return 0;
-    return std::min(duration_ms * all.limits.interruption_cost_share,
-                    all.limits.interruption_cost_limit_ms);
+    return std::min(duration_ms * dispatcher.limits.interruption_cost_share,
+                    dispatcher.limits.interruption_cost_limit_ms);
 }
 
 // Prompt tokens that an engine has yet to prefill. The engine's report covers
 // the calls of all gateways; of the sends since then, a gateway knows only its
 // own. It assumes that the others send alike, most of all when calls wait.
-double reading_backlog(state const& all, upstream const& one,
-                       sent_tally const& sent)
+double prefill_backlog(state const& dispatcher, upstream const& target,
+                       send_tally const& in_flight)
 {
-    constexpr double usual_likeness = 0.25;
+    constexpr double usual_correlation = 0.25;
     double const reported =
-        one.load ? one.load->report.reading + one.load->report.queued : 0.0;
-    double const likeness = all.waiting.empty() ? usual_likeness : 1.0;
-    double const others = all.gateways - 1;
-    return sent.reported_tokens +
-           std::max(0.0, reported - sent.reported_calls) *
-               all.mean_reading_tokens +
-           sent.unreported_tokens * (1.0 + others * likeness);
+        target.load ? target.load->report.reading + target.load->report.queued
+                    : 0.0;
+    double const correlation =
+        dispatcher.waiting.empty() ? usual_correlation : 1.0;
+    double const other_gateways = dispatcher.gateways - 1;
+    return in_flight.reported_tokens +
+           std::max(0.0, reported - in_flight.reported_calls) *
+               dispatcher.mean_reading_tokens +
+           in_flight.unreported_tokens * (1.0 + other_gateways * correlation);
 }
 
-std::optional<choice> weigh_engine(state const& all, upstream const& one,
-                                   call const& asked, prompt_split const& split,
-                                   std::vector<source> const& sources,
-                                   upstream const* home, sent_tally const& sent,
-                                   mono_time now)
+std::optional<choice>
+evaluate_engine(state const& dispatcher, upstream const& target,
+                call const& request, prompt_split const& split,
+                std::vector<part_source> const& sources, upstream const* home,
+                send_tally const& in_flight, mono_time now)
 {
-    constexpr double fetch_worth_tokens = 64;
-    auto const weights = weights_of(all, one, asked.asked->model, now);
+    constexpr double fetch_tokens_min = 64;
+    auto const weights =
+        check_weights(dispatcher, target, request.asked->model, now);
     if (!weights.is_allowed)
         return std::nullopt;
-    bool const is_reported = is_fresh(all, one, now);
-    if (is_reported && (one.load->report.is_busy || one.load->is_preparing))
+    bool const is_reported = has_fresh_report(dispatcher, target, now);
+    if (is_reported &&
+        (target.load->report.is_busy || target.load->is_preparing))
         return std::nullopt;
-    if (is_reported && one.record.slots > 0 &&
-        one.load->report.running >= one.record.slots)
+    if (is_reported && target.record.slots > 0 &&
+        target.load->report.running >= target.record.slots)
         return std::nullopt;
     choice result;
-    result.upstream = one.key;
+    result.upstream = target.key;
     result.weights = weights.version;
-    double const held =
-        cached_tokens(all, one, asked, split, weights.version, now);
-    auto const best = source_for(sources, weights.version);
-    double const fetched = std::max(0.0, best.tokens - held);
-    result.cached_tokens = held;
-    result.reading_tokens =
-        split.own_tokens + split.shared_tokens - held - fetched;
-    result.memory_tokens = split.own_tokens + asked.asked->output_tokens_limit +
-                           split.shared_tokens - held;
-    if (!has_memory(all, one, sent, result.memory_tokens))
+    double const cached =
+        cached_tokens(dispatcher, target, request, split, weights.version, now);
+    auto const best = find_source(sources, weights.version);
+    double const fetched = std::max(0.0, best.tokens - cached);
+    result.cached_tokens = cached;
+    result.prefill_tokens =
+        split.own_tokens + split.shared_tokens - cached - fetched;
+    result.memory_tokens = split.own_tokens +
+                           request.asked->output_tokens_limit +
+                           split.shared_tokens - cached;
+    if (!has_memory(dispatcher, target, in_flight, result.memory_tokens))
         return std::nullopt;
-    double const backlog_ms =
-        reading_backlog(all, one, sent) / all.limits.reading_tokens_per_ms;
-    if (backlog_ms > all.limits.reading_backlog_limit_ms)
+    double const backlog_ms = prefill_backlog(dispatcher, target, in_flight) /
+                              dispatcher.limits.reading_tokens_per_ms;
+    if (backlog_ms > dispatcher.limits.reading_backlog_limit_ms)
         return std::nullopt;
     result.expected_ms =
-        backlog_ms + result.reading_tokens / all.limits.reading_tokens_per_ms +
-        fetched * best.ms_per_token + running_cost(all, one, now) +
-        weights.cost_ms + failure_cost(all, one, now);
-    if (fetched > fetch_worth_tokens)
+        backlog_ms +
+        result.prefill_tokens / dispatcher.limits.reading_tokens_per_ms +
+        fetched * best.ms_per_token + running_cost(dispatcher, target, now) +
+        weights.cost_ms + failure_cost(dispatcher, target, now);
+    if (fetched > fetch_tokens_min)
         result.fetch_from = best.where;
-    bool const is_copy = best.engine != 0 && best.tokens > fetch_worth_tokens
-                             ? fetched > fetch_worth_tokens
-                             : &one != home;
+    bool const is_copy = best.engine != 0 && best.tokens > fetch_tokens_min
+                             ? fetched > fetch_tokens_min
+                             : &target != home;
     if (is_copy)
-        result.expected_ms += all.limits.copy_cost_ms;
-    double const reread = split.shared_tokens - held - fetched;
-    result.save_to = store_for(all, asked, split, reread, now);
+        result.expected_ms += dispatcher.limits.copy_cost_ms;
+    double const uncached = split.shared_tokens - cached - fetched;
+    result.save_to = select_store(dispatcher, request, split, uncached, now);
     if (weights.is_old)
-        result.expected_ms += reread * all.limits.old_reread_cost_ms_per_token;
-    if (&one != home)
-        result.expected_ms += reread * all.limits.reread_cost_ms_per_token;
+        result.expected_ms +=
+            uncached * dispatcher.limits.old_reread_cost_ms_per_token;
+    if (&target != home)
+        result.expected_ms +=
+            uncached * dispatcher.limits.reread_cost_ms_per_token;
     result.expected_ms +=
-        interruption_cost(all, one, asked, result.expected_ms, now);
+        interruption_cost(dispatcher, target, request, result.expected_ms, now);
     return result;
 }
 
-std::optional<choice> weigh_plain(state const& all, upstream const& one,
-                                  mono_time now)
+std::optional<choice> evaluate_plain(state const& dispatcher,
+                                     upstream const& target, mono_time now)
 {
     // A service queues a few calls beyond its slots; the limit is this
     // gateway's share of both.
@@ -206,49 +219,51 @@
     constexpr std::uint32_t share_min = 3;
     constexpr double open_call_cost_ms = 40;
     constexpr double other_data_center_cost_ms = 2;
-    std::uint32_t const share =
-        std::max(share_min, one.record.slots * queue_factor / all.gateways);
-    if (one.record.slots > 0 && one.open_calls >= share)
+    std::uint32_t const share = std::max(
+        share_min, target.record.slots * queue_factor / dispatcher.gateways);
+    if (target.record.slots > 0 && target.open_calls >= share)
         return std::nullopt;
     choice result;
-    result.upstream = one.key;
-    result.expected_ms =
-        one.open_calls * open_call_cost_ms + failure_cost(all, one, now);
-    if (one.record.data_center != all.data_center)
+    result.upstream = target.key;
+    result.expected_ms = target.open_calls * open_call_cost_ms +
+                         failure_cost(dispatcher, target, now);
+    if (target.record.data_center != dispatcher.data_center)
         result.expected_ms += other_data_center_cost_ms;
     return result;
 }
 
-bool was_tried(call const& asked, upstream_key key)
+bool was_tried(call const& request, upstream_key key)
 {
-    return std::find(asked.tried.begin(), asked.tried.end(), key) !=
-           asked.tried.end();
+    return std::find(request.tried.begin(), request.tried.end(), key) !=
+           request.tried.end();
 }
 
 } // namespace
 
-std::optional<choice> choose(state const& all, call const& asked, mono_time now)
+std::optional<choice> choose(state const& dispatcher, call const& request,
+                             mono_time now)
 {
     prompt_split split;
     upstream const* home = nullptr;
-    std::vector<source> sources;
-    auto const sent = tally_sends(all);
-    if (asked.asked)
+    std::vector<part_source> sources;
+    auto const in_flight = tally_sends(dispatcher);
+    if (request.asked)
     {
-        split = split_of(*asked.asked);
-        sources = find_sources(all, asked, split, now);
-        home = home_of(all, asked.pool, split.home_part, now);
+        split = split_prompt(*request.asked);
+        sources = find_sources(dispatcher, request, split, now);
+        home = home_engine(dispatcher, request.pool, split.home_part, now);
     }
     std::optional<choice> best;
-    for (auto const& [key, one] : all.upstreams)
+    for (auto const& [key, target] : dispatcher.upstreams)
     {
-        if (one.record.pool != asked.pool || was_tried(asked, key) ||
-            !is_in_use(all, one, now))
+        if (target.record.pool != request.pool || was_tried(request, key) ||
+            !is_available(dispatcher, target, now))
             continue;
         auto const candidate =
-            asked.asked ? weigh_engine(all, one, asked, split, sources, home,
-                                       tally_of(sent, key), now)
-                        : weigh_plain(all, one, now);
+            request.asked
+                ? evaluate_engine(dispatcher, target, request, split, sources,
+                                  home, find_tally(in_flight, key), now)
+                : evaluate_plain(dispatcher, target, now);
         if (candidate && (!best || candidate->expected_ms < best->expected_ms))
             best = candidate;
     }
--- a/jujubestand/dispatch/choice.hpp
+++ b/jujubestand/dispatch/choice.hpp
@@ -16,15 +16,15 @@
     std::optional<address> save_to;
     double expected_ms = 0;
     double cached_tokens = 0;
-    double reading_tokens = 0;
+    double prefill_tokens = 0;
     double memory_tokens = 0;
 };
 
 /// \brief Selects the upstream with the least expected time to the first
 /// output.
 /// \returns nothing if no upstream can take the call now
-[[nodiscard]] std::optional<choice> choose(state const& all, call const& asked,
-                                           mono_time now);
+[[nodiscard]] std::optional<choice> choose(state const& dispatcher,
+                                           call const& request, mono_time now);
 
 } // namespace jujubestand::dispatch
 
--- a/jujubestand/dispatch/dispatch.cpp
+++ b/jujubestand/dispatch/dispatch.cpp
@@ -12,63 +12,64 @@
 {
 
 /// Retry-after of calls that find no upstream.
-constexpr std::chrono::milliseconds nothing_usable_pause{500};
+constexpr std::chrono::milliseconds no_upstream_retry_after{500};
 
-decision refuse(call const& asked, reason why,
+decision refuse(call const& request, reason why,
                 std::chrono::milliseconds retry_after)
 {
     decision result;
-    result.call = asked.key;
+    result.call = request.key;
     result.what = action::refuse;
     result.why = std::move(why);
     result.retry_after = retry_after;
     return result;
 }
 
-decision hold(call const& asked)
+decision hold(call const& request)
 {
     decision result;
-    result.call = asked.key;
+    result.call = request.key;
     return result;
 }
 
 // Marks the shared parts of a sent prompt as expected: the agent reports them
 // only after the engine has prefilled them.
-void expect_parts(upstream& one, call const& asked, choice const& chosen,
-                  mono_time now)
+void mark_parts_expected(upstream& target, call const& request,
+                         choice const& chosen, mono_time now)
 {
     constexpr std::size_t expected_limit = 512;
-    if (!asked.asked || asked.asked->parts.size() < 2)
+    if (!request.asked || request.asked->parts.size() < 2)
         return;
-    if (one.expected_parts.size() > expected_limit)
-        one.expected_parts.clear();
+    if (target.expected_parts.size() > expected_limit)
+        target.expected_parts.clear();
     std::string const scope =
-        cache_scope(asked.cache_owner, chosen.weights.value_or(0));
-    for (std::size_t at = 0; at + 1 < asked.asked->parts.size(); ++at)
-        one.expected_parts[status::hash_of(scope, asked.asked->parts[at].id)] =
-            now;
+        cache_scope(request.cache_owner, chosen.weights.value_or(0));
+    for (std::size_t index = 0; index + 1 < request.asked->parts.size();
+         ++index)
+        target.expected_parts[status::hash_of(
+            scope, request.asked->parts[index].id)] = now;
 }
 
-decision send(state& all, call const& asked, choice const& chosen,
+decision send(state& dispatcher, call const& request, choice const& chosen,
               mono_time now)
 {
-    upstream& one = all.upstreams.at(chosen.upstream);
-    ++one.open_calls;
-    open_send made;
-    made.upstream = chosen.upstream;
-    made.at = now;
-    made.reading_tokens = chosen.reading_tokens;
-    made.memory_tokens = chosen.memory_tokens;
-    all.sends[asked.key] = made;
-    if (asked.asked)
+    upstream& target = dispatcher.upstreams.at(chosen.upstream);
+    ++target.open_calls;
+    open_send in_flight;
+    in_flight.upstream = chosen.upstream;
+    in_flight.at = now;
+    in_flight.reading_tokens = chosen.prefill_tokens;
+    in_flight.memory_tokens = chosen.memory_tokens;
+    dispatcher.sends[request.key] = in_flight;
+    if (request.asked)
     {
         constexpr double weight = 0.02;
-        all.mean_reading_tokens +=
-            weight * (chosen.reading_tokens - all.mean_reading_tokens);
+        dispatcher.mean_reading_tokens +=
+            weight * (chosen.prefill_tokens - dispatcher.mean_reading_tokens);
     }
-    expect_parts(one, asked, chosen, now);
+    mark_parts_expected(target, request, chosen, now);
     decision result;
-    result.call = asked.key;
+    result.call = request.key;
     result.what = action::send;
     result.cached_tokens = chosen.cached_tokens;
     result.upstream = chosen.upstream;
@@ -81,7 +82,7 @@
 
 // Orders calls by priority, then by the time of arrival plus target latency, so
 // that calls with a long target latency do not starve.
-bool goes_before(call const& left, call const& right)
+bool precedes(call const& left, call const& right)
 {
     if (left.priority != right.priority)
         return left.priority < right.priority;
@@ -89,93 +90,96 @@
            right.arrived_at + right.target_latency;
 }
 
-bool can_be_served(state const& all, call const& asked, mono_time now)
+bool can_be_served(state const& dispatcher, call const& request, mono_time now)
 {
-    return now + all.limits.service_time_min < asked.deadline;
+    return now + dispatcher.limits.service_time_min < request.deadline;
 }
 
-reason no_time(call const& asked)
+reason no_time_left(call const& request)
 {
     return reason{reason_code::deadline_unreachable,
-                  "no upstream has room in time", asked.pool};
+                  "no upstream has room in time", request.pool};
 }
 
 // Time to prefill the calls that wait ahead of this one, if this gateway's
 // share of the available engines prefills nothing else.
-double expected_wait_ms(state const& all, call const& asked, mono_time now)
+double expected_wait_ms(state const& dispatcher, call const& request,
+                        mono_time now)
 {
     double tokens = 0;
-    for (auto const& [key, other] : all.waiting)
+    for (auto const& [key, other] : dispatcher.waiting)
     {
-        if (other.pool == asked.pool && other.asked &&
-            !goes_before(asked, other))
+        if (other.pool == request.pool && other.asked &&
+            !precedes(request, other))
             tokens += other.asked->parts.empty()
                           ? other.asked->input_tokens
                           : other.asked->parts.back().tokens;
     }
-    double const engines = static_cast<double>(std::max<std::size_t>(
-                               1, usable(all, asked.pool, now))) /
-                           all.gateways;
-    return tokens / (all.limits.reading_tokens_per_ms * engines);
+    double const engines =
+        static_cast<double>(std::max<std::size_t>(
+            1, available_count(dispatcher, request.pool, now))) /
+        dispatcher.gateways;
+    return tokens / (dispatcher.limits.reading_tokens_per_ms * engines);
 }
 
 } // namespace
 
-decision submit(state& all, call const& asked, mono_time now)
+decision submit(state& dispatcher, call const& request, mono_time now)
 {
-    if (!can_be_served(all, asked, now))
-        return refuse(asked, no_time(asked), all.limits.return_margin);
-    if (auto const chosen = choose(all, asked, now))
-        return send(all, asked, *chosen, now);
-    if (all.waiting.size() >= all.limits.waiting_limit)
+    if (!can_be_served(dispatcher, request, now))
+        return refuse(request, no_time_left(request),
+                      dispatcher.limits.return_margin);
+    if (auto const chosen = choose(dispatcher, request, now))
+        return send(dispatcher, request, *chosen, now);
+    if (dispatcher.waiting.size() >= dispatcher.limits.waiting_limit)
         return refuse(
-            asked, reason{reason_code::queue_full, "too many calls wait", {}},
-            nothing_usable_pause);
-    double const wait_ms = expected_wait_ms(all, asked, now);
+            request, reason{reason_code::queue_full, "too many calls wait", {}},
+            no_upstream_retry_after);
+    double const wait_ms = expected_wait_ms(dispatcher, request, now);
     auto const wait =
         std::chrono::milliseconds{static_cast<std::int64_t>(wait_ms)};
-    if (now + wait + all.limits.service_time_min >= asked.deadline)
-        return refuse(asked, no_time(asked), wait / 2);
-    all.waiting[asked.key] = asked;
-    return hold(asked);
+    if (now + wait + dispatcher.limits.service_time_min >= request.deadline)
+        return refuse(request, no_time_left(request), wait / 2);
+    dispatcher.waiting[request.key] = request;
+    return hold(request);
 }
 
-std::vector<decision> review(state& all, mono_time now)
+std::vector<decision> review(state& dispatcher, mono_time now)
 {
-    std::vector<call const*> order;
-    order.reserve(all.waiting.size());
-    for (auto const& [key, asked] : all.waiting)
-        order.push_back(&asked);
-    std::sort(order.begin(), order.end(),
+    std::vector<call const*> ordered_calls;
+    ordered_calls.reserve(dispatcher.waiting.size());
+    for (auto const& [key, request] : dispatcher.waiting)
+        ordered_calls.push_back(&request);
+    std::sort(ordered_calls.begin(), ordered_calls.end(),
               [](call const* left, call const* right)
               {
-                  return goes_before(*left, *right);
+                  return precedes(*left, *right);
               });
     std::vector<decision> result;
-    for (call const* asked : order)
+    for (call const* request : ordered_calls)
     {
-        if (!can_be_served(all, *asked, now))
-            result.push_back(
-                refuse(*asked, no_time(*asked), all.limits.return_margin));
-        else if (auto const chosen = choose(all, *asked, now))
-            result.push_back(send(all, *asked, *chosen, now));
+        if (!can_be_served(dispatcher, *request, now))
+            result.push_back(refuse(*request, no_time_left(*request),
+                                    dispatcher.limits.return_margin));
+        else if (auto const chosen = choose(dispatcher, *request, now))
+            result.push_back(send(dispatcher, *request, *chosen, now));
     }
-    for (auto const& made : result)
-        all.waiting.erase(made.call);
+    for (auto const& decided : result)
+        dispatcher.waiting.erase(decided.call);
     return result;
 }
 
-bool has_alternative(state const& all, call const& asked, upstream_key besides,
-                     mono_time now)
+bool has_alternative(state const& dispatcher, call const& request,
+                     upstream_key excluded, mono_time now)
 {
-    call elsewhere = asked;
-    elsewhere.tried.push_back(besides);
-    return choose(all, elsewhere, now).has_value();
+    call elsewhere = request;
+    elsewhere.tried.push_back(excluded);
+    return choose(dispatcher, elsewhere, now).has_value();
 }
 
-void forget(state& all, call_key call)
+void forget(state& dispatcher, call_key call)
 {
-    all.waiting.erase(call);
+    dispatcher.waiting.erase(call);
 }
 
 } // namespace jujubestand::dispatch
--- a/jujubestand/dispatch/dispatch.hpp
+++ b/jujubestand/dispatch/dispatch.hpp
@@ -10,20 +10,21 @@
 /// \brief Decides on a new call, or on one that an upstream did not run:
 /// sends it, queues it, or refuses it with a time after which the caller should
 /// retry.
-[[nodiscard]] decision submit(state& all, call const& asked, mono_time now);
+[[nodiscard]] decision submit(state& dispatcher, call const& request,
+                              mono_time now);
 
 /// \brief Decides again on the waiting calls, most urgent first; to be called
 /// after each change of the state and periodically.
 /// \returns decisions on the calls that stop waiting
-[[nodiscard]] std::vector<decision> review(state& all, mono_time now);
+[[nodiscard]] std::vector<decision> review(state& dispatcher, mono_time now);
 
 /// \brief Whether a call that runs at an upstream could be sent to another one
 /// immediately.
-[[nodiscard]] bool has_alternative(state const& all, call const& asked,
-                                   upstream_key besides, mono_time now);
+[[nodiscard]] bool has_alternative(state const& dispatcher, call const& request,
+                                   upstream_key excluded, mono_time now);
 
 /// \brief Removes a waiting call whose caller has disconnected.
-void forget(state& all, call_key call);
+void forget(state& dispatcher, call_key call);
 
 } // namespace jujubestand::dispatch
 
--- a/jujubestand/dispatch/parts.cpp
+++ b/jujubestand/dispatch/parts.cpp
@@ -11,9 +11,9 @@
 
 /// Hashes of a prompt's shared parts under one version of the weights.
 std::vector<status::part_hash>
-hashes_of(call const& asked, prompt_split const& split, std::uint64_t weights)
+hashes_of(call const& request, prompt_split const& split, std::uint64_t weights)
 {
-    std::string const scope = cache_scope(asked.cache_owner, weights);
+    std::string const scope = cache_scope(request.cache_owner, weights);
     std::vector<status::part_hash> result;
     for (auto const& part : split.shared)
         result.push_back(status::hash_of(scope, part.id));
@@ -22,116 +22,122 @@
 
 /// Tokens of the longest cached prefix: a cached part is usable only if all
 /// parts before it are cached.
-template <class TokensHeld>
-double held_in_order(prompt_split const& split,
-                     std::vector<status::part_hash> const& hashes,
-                     TokensHeld const& tokens_held)
+template <class PartTokens>
+double cached_prefix_tokens(prompt_split const& split,
+                            std::vector<status::part_hash> const& hashes,
+                            PartTokens const& part_tokens)
 {
     constexpr std::uint32_t block_tokens = 16;
     double tokens = 0;
-    for (std::size_t at = 0; at < hashes.size(); ++at)
+    for (std::size_t index = 0; index < hashes.size(); ++index)
     {
-        std::uint32_t const size = split.shared[at].tokens;
-        std::uint32_t const has = tokens_held(hashes[at], size);
-        tokens += std::min(has, size);
-        if (has + block_tokens <= size)
+        std::uint32_t const size = split.shared[index].tokens;
+        std::uint32_t const cached = part_tokens(hashes[index], size);
+        tokens += std::min(cached, size);
+        if (cached + block_tokens <= size)
             break;
     }
     return tokens;
 }
 
-std::uint32_t held_part(status::cache_copy const& cache, status::part_hash part)
+std::uint32_t cached_part_tokens(status::cache_copy const& cache,
+                                 status::part_hash part)
 {
-    auto const held = cache.parts.find(part);
-    return held == cache.parts.end() ? 0 : held->second;
+    auto const cached_part = cache.parts.find(part);
+    return cached_part == cache.parts.end() ? 0 : cached_part->second;
 }
 
-void offer(std::vector<source>& all, source const& candidate)
+void keep_best(std::vector<part_source>& sources, part_source const& candidate)
 {
-    auto const found = std::find_if(all.begin(), all.end(),
-                                    [&](source const& row)
+    auto const found = std::find_if(sources.begin(), sources.end(),
+                                    [&](part_source const& row)
                                     {
                                         return row.weights == candidate.weights;
                                     });
-    if (found == all.end())
-        all.push_back(candidate);
+    if (found == sources.end())
+        sources.push_back(candidate);
     else if (candidate.tokens > found->tokens)
         *found = candidate;
 }
 
 } // namespace
 
-prompt_split split_of(traffic::prompt const& asked)
+prompt_split split_prompt(traffic::prompt const& model_prompt)
 {
     prompt_split result;
-    if (asked.parts.empty())
+    if (model_prompt.parts.empty())
     {
-        result.own_tokens = asked.input_tokens;
+        result.own_tokens = model_prompt.input_tokens;
         return result;
     }
-    result.shared.assign(asked.parts.begin(), asked.parts.end() - 1);
+    result.shared.assign(model_prompt.parts.begin(),
+                         model_prompt.parts.end() - 1);
     for (auto const& part : result.shared)
         result.shared_tokens += part.tokens;
-    result.own_tokens = asked.parts.back().tokens;
-    result.home_part =
-        result.shared.empty() ? asked.parts.back().id : result.shared.back().id;
+    result.own_tokens = model_prompt.parts.back().tokens;
+    result.home_part = result.shared.empty() ? model_prompt.parts.back().id
+                                             : result.shared.back().id;
     return result;
 }
 
-double cached_tokens(state const& all, upstream const& one, call const& asked,
-                     prompt_split const& split, std::uint64_t weights,
-                     mono_time now)
+double cached_tokens(state const& dispatcher, upstream const& target,
+                     call const& request, prompt_split const& split,
+                     std::uint64_t weights, mono_time now)
 {
-    return held_in_order(
-        split, hashes_of(asked, split, weights),
+    return cached_prefix_tokens(
+        split, hashes_of(request, split, weights),
         [&](status::part_hash part, std::uint32_t size)
         {
-            auto const expected = one.expected_parts.find(part);
+            auto const expected = target.expected_parts.find(part);
             bool const is_expected =
-                expected != one.expected_parts.end() &&
-                now - expected->second < all.limits.expected_parts_limit;
-            return is_expected ? size : held_part(one.cache, part);
+                expected != target.expected_parts.end() &&
+                now - expected->second < dispatcher.limits.expected_parts_limit;
+            return is_expected ? size : cached_part_tokens(target.cache, part);
         });
 }
 
 // One source for each version of the weights, since cached parts of one version
 // can't be used with another.
-std::vector<source> find_sources(state const& all, call const& asked,
-                                 prompt_split const& split, mono_time now)
+std::vector<part_source> find_sources(state const& dispatcher,
+                                      call const& request,
+                                      prompt_split const& split, mono_time now)
 {
-    std::vector<source> result;
-    for (auto const& [key, one] : all.upstreams)
+    std::vector<part_source> result;
+    for (auto const& [key, target] : dispatcher.upstreams)
     {
-        if (one.record.pool != asked.pool || !is_in_use(all, one, now))
+        if (target.record.pool != request.pool ||
+            !is_available(dispatcher, target, now))
             continue;
-        auto const weights = weights_of(all, one, asked.asked->model, now);
-        offer(result,
-              {weights.version, one.record.where, one.key,
-               cached_tokens(all, one, asked, split, weights.version, now),
-               all.limits.fetch_ms_per_token});
+        auto const weights =
+            check_weights(dispatcher, target, request.asked->model, now);
+        keep_best(result, {weights.version, target.record.where, target.key,
+                           cached_tokens(dispatcher, target, request, split,
+                                         weights.version, now),
+                           dispatcher.limits.fetch_ms_per_token});
     }
     for (auto& row : result)
     {
-        auto const hashes = hashes_of(asked, split, row.weights);
-        for (auto const& store : all.stores)
+        auto const hashes = hashes_of(request, split, row.weights);
+        for (auto const& store : dispatcher.stores)
         {
-            double const tokens =
-                held_in_order(split, hashes,
-                              [&](status::part_hash part, std::uint32_t)
-                              {
-                                  return held_part(store.cache, part);
-                              });
+            double const tokens = cached_prefix_tokens(
+                split, hashes,
+                [&](status::part_hash part, std::uint32_t)
+                {
+                    return cached_part_tokens(store.cache, part);
+                });
             if (store.is_alive && tokens > row.tokens)
                 row = {row.weights, store.where, 0, tokens,
-                       all.limits.store_fetch_ms_per_token};
+                       dispatcher.limits.store_fetch_ms_per_token};
         }
     }
     return result;
 }
 
-source source_for(std::vector<source> const& all, std::uint64_t weights)
+part_source find_source(std::vector<part_source> const& sources,
+                        std::uint64_t weights)
 {
-    for (auto const& row : all)
+    for (auto const& row : sources)
     {
         if (row.weights == weights)
             return row;
@@ -139,18 +145,20 @@
     return {};
 }
 
-std::optional<address> store_for(state const& all, call const& asked,
-                                 prompt_split const& split, double read_tokens,
-                                 mono_time now)
+std::optional<address> select_store(state const& dispatcher,
+                                    call const& request,
+                                    prompt_split const& split,
+                                    double read_tokens, mono_time now)
 {
-    auto const want = all.weights.find(asked.asked->model);
+    auto const wanted_weights = dispatcher.weights.find(request.asked->model);
     bool const is_settled =
-        want == all.weights.end() ||
-        now - want->second.since > all.limits.save_weights_age;
-    if (all.stores.empty() || !is_settled ||
-        read_tokens < all.limits.save_tokens_min)
+        wanted_weights == dispatcher.weights.end() ||
+        now - wanted_weights->second.since > dispatcher.limits.save_weights_age;
+    if (dispatcher.stores.empty() || !is_settled ||
+        read_tokens < dispatcher.limits.save_tokens_min)
         return std::nullopt;
-    auto const& store = all.stores[split.home_part % all.stores.size()];
+    auto const& store =
+        dispatcher.stores[split.home_part % dispatcher.stores.size()];
     return store.is_alive ? std::optional(store.where) : std::nullopt;
 }
 
--- a/jujubestand/dispatch/parts.hpp
+++ b/jujubestand/dispatch/parts.hpp
@@ -20,16 +20,17 @@
     std::uint64_t home_part = 0;
 };
 
-[[nodiscard]] prompt_split split_of(traffic::prompt const& asked);
+[[nodiscard]] prompt_split split_prompt(traffic::prompt const& model_prompt);
 
 /// \brief Tokens of a prompt's shared parts that an engine holds under one
 /// version of the weights, including those that it is about to prefill.
-[[nodiscard]] double cached_tokens(state const& all, upstream const& one,
-                                   call const& asked, prompt_split const& split,
+[[nodiscard]] double cached_tokens(state const& dispatcher,
+                                   upstream const& target, call const& request,
+                                   prompt_split const& split,
                                    std::uint64_t weights, mono_time now);
 
 /// \brief The engine or store that holds the most of a prompt's shared parts.
-struct source
+struct part_source
 {
     std::uint64_t weights = 0;
     address where;
@@ -39,20 +40,20 @@
 };
 
 /// \brief The best source for each version of the weights.
-[[nodiscard]] std::vector<source> find_sources(state const& all,
-                                               call const& asked,
-                                               prompt_split const& split,
-                                               mono_time now);
+[[nodiscard]] std::vector<part_source> find_sources(state const& dispatcher,
+                                                    call const& request,
+                                                    prompt_split const& split,
+                                                    mono_time now);
 
 /// \brief The source for one weights version; has 0 tokens if there is none.
-[[nodiscard]] source source_for(std::vector<source> const& all,
-                                std::uint64_t weights);
+[[nodiscard]] part_source find_source(std::vector<part_source> const& sources,
+                                      std::uint64_t weights);
 
 /// \brief The store to save shared parts to after an engine has prefilled them.
 /// \param read_tokens shared tokens that no engine or store holds
 [[nodiscard]] std::optional<address>
-store_for(state const& all, call const& asked, prompt_split const& split,
-          double read_tokens, mono_time now);
+select_store(state const& dispatcher, call const& request,
+             prompt_split const& split, double read_tokens, mono_time now);
 
 /// \brief Key prefix of a call's cached parts; keeps the parts of different
 /// weights and of isolated teams apart.
--- a/jujubestand/dispatch/standing.cpp
+++ b/jujubestand/dispatch/standing.cpp
@@ -5,46 +5,52 @@
 namespace jujubestand::dispatch
 {
 
-bool is_fresh(state const& all, upstream const& one, mono_time now)
+bool has_fresh_report(state const& dispatcher, upstream const& target,
+                      mono_time now)
 {
-    return one.load && now - one.load->at <= all.limits.report_age_limit;
+    return target.load &&
+           now - target.load->at <= dispatcher.limits.report_age_limit;
 }
 
-bool is_in_use(state const& all, upstream const& one, mono_time now)
+bool is_available(state const& dispatcher, upstream const& target,
+                  mono_time now)
 {
-    if (one.record.is_leaving || one.is_replaced || one.avoid_until > now)
+    if (target.record.is_leaving || target.is_replaced ||
+        target.avoid_until > now)
         return false;
-    return !is_fresh(all, one, now) || !one.load->is_down;
+    return !has_fresh_report(dispatcher, target, now) || !target.load->is_down;
 }
 
-std::size_t usable(state const& all, std::string const& pool, mono_time now)
+std::size_t available_count(state const& dispatcher, std::string const& pool,
+                            mono_time now)
 {
     return static_cast<std::size_t>(
-        std::count_if(all.upstreams.begin(), all.upstreams.end(),
+        std::count_if(dispatcher.upstreams.begin(), dispatcher.upstreams.end(),
                       [&](auto const& row)
                       {
                           return row.second.record.pool == pool &&
-                                 is_in_use(all, row.second, now);
+                                 is_available(dispatcher, row.second, now);
                       }));
 }
 
-weights_standing weights_of(state const& all, upstream const& one,
-                            std::string const& model, mono_time now)
+weights_status check_weights(state const& dispatcher, upstream const& target,
+                             std::string const& model, mono_time now)
 {
-    weights_standing result;
-    auto const known = one.versions.find(model);
-    if (known == one.versions.end())
+    weights_status result;
+    auto const known = target.versions.find(model);
+    if (known == target.versions.end())
         return result;
     result.version = known->second;
     result.is_allowed = true;
-    auto const want = all.weights.find(model);
-    if (want == all.weights.end() || known->second >= want->second.version)
+    auto const wanted_weights = dispatcher.weights.find(model);
+    if (wanted_weights == dispatcher.weights.end() ||
+        known->second >= wanted_weights->second.version)
         return result;
     result.is_old = true;
-    auto const lag = now - want->second.since;
-    result.is_allowed = lag < all.limits.weights_lag;
-    if (lag > all.limits.weights_grace)
-        result.cost_ms = all.limits.old_weights_cost_ms;
+    auto const lag = now - wanted_weights->second.since;
+    result.is_allowed = lag < dispatcher.limits.weights_lag;
+    if (lag > dispatcher.limits.weights_grace)
+        result.cost_ms = dispatcher.limits.old_weights_cost_ms;
     return result;
 }
 
--- a/jujubestand/dispatch/standing.hpp
+++ b/jujubestand/dispatch/standing.hpp
@@ -8,20 +8,21 @@
 {
 
 /// \brief Whether an engine's report is recent enough to be used.
-[[nodiscard]] bool is_fresh(state const& all, upstream const& one,
-                            mono_time now);
+[[nodiscard]] bool has_fresh_report(state const& dispatcher,
+                                    upstream const& target, mono_time now);
 
 /// \brief Whether an upstream accepts calls, regardless of free capacity.
-[[nodiscard]] bool is_in_use(state const& all, upstream const& one,
-                             mono_time now);
+[[nodiscard]] bool is_available(state const& dispatcher, upstream const& target,
+                                mono_time now);
 
 /// \brief Number of upstreams of a pool that accept calls, regardless of free
 /// capacity.
-[[nodiscard]] std::size_t usable(state const& all, std::string const& pool,
-                                 mono_time now);
+[[nodiscard]] std::size_t available_count(state const& dispatcher,
+                                          std::string const& pool,
+                                          mono_time now);
 
 /// \brief Whether a call may begin on an engine's weights, and at what cost.
-struct weights_standing
+struct weights_status
 {
     bool is_allowed = false;
     /// The operator has requested newer weights.
@@ -31,9 +32,10 @@
 };
 
 /// \brief Compares an engine's weights with the wanted version.
-[[nodiscard]] weights_standing weights_of(state const& all, upstream const& one,
-                                          std::string const& model,
-                                          mono_time now);
+[[nodiscard]] weights_status check_weights(state const& dispatcher,
+                                           upstream const& target,
+                                           std::string const& model,
+                                           mono_time now);
 
 } // namespace jujubestand::dispatch
 
--- a/jujubestand/dispatch/test/fleet.hpp
+++ b/jujubestand/dispatch/test/fleet.hpp
@@ -41,44 +41,45 @@
 
 inline state fleet(int engines)
 {
-    state all;
+    state dispatcher;
     for (int number = 1; number <= engines; ++number)
     {
-        on_record(all, engine_record(number));
-        on_load(all, all.last_key, idle_load(0));
+        on_record(dispatcher, engine_record(number));
+        on_load(dispatcher, dispatcher.last_key, idle_load(0));
     }
-    return all;
+    return dispatcher;
 }
 
-inline upstream& engine(state& all, int number)
+inline upstream& engine(state& dispatcher, int number)
 {
-    return all.upstreams.at(all.by_id.at("e" + std::to_string(number)));
+    return dispatcher.upstreams.at(
+        dispatcher.by_id.at("e" + std::to_string(number)));
 }
 
-inline call prompt_call(call_key key, std::uint64_t annex, int ms = 0)
+inline call prompt_call(call_key key, std::uint64_t shared_part, int ms = 0)
 {
-    call asked;
-    asked.key = key;
-    asked.pool = "engines";
-    asked.cache_owner = "all";
-    asked.priority = 1;
-    asked.arrived_at = at(ms);
-    asked.deadline = at(ms + 5'000);
-    asked.target_latency = std::chrono::milliseconds{600};
-    asked.asked =
-        traffic::prompt{"m",
-                        {{1, 2'520}, {annex, 3'780}, {key + 1'000'000, 2'890}},
-                        9'190,
-                        60,
-                        30};
-    return asked;
+    call request;
+    request.key = key;
+    request.pool = "engines";
+    request.cache_owner = "all";
+    request.priority = 1;
+    request.arrived_at = at(ms);
+    request.deadline = at(ms + 5'000);
+    request.target_latency = std::chrono::milliseconds{600};
+    request.asked = traffic::prompt{
+        "m",
+        {{1, 2'520}, {shared_part, 3'780}, {key + 1'000'000, 2'890}},
+        9'190,
+        60,
+        30};
+    return request;
 }
 
-inline void hold_parts(upstream& one, std::uint64_t annex)
+inline void hold_parts(upstream& target, std::uint64_t shared_part)
 {
     auto const scope = cache_scope("all", 1);
-    one.cache.parts[status::hash_of(scope, 1)] = 2'520;
-    one.cache.parts[status::hash_of(scope, annex)] = 3'780;
+    target.cache.parts[status::hash_of(scope, 1)] = 2'520;
+    target.cache.parts[status::hash_of(scope, shared_part)] = 3'780;
 }
 
 } // namespace jujubestand::dispatch
--- a/jujubestand/dispatch/test/upstreams_test.cpp
+++ b/jujubestand/dispatch/test/upstreams_test.cpp
@@ -8,84 +8,86 @@
 
 TEST(upstreams, engines_that_fail_are_avoided_for_longer_each_time)
 {
-    auto all = fleet(2);
-    auto& bad = engine(all, 1);
-    microseconds last{0};
+    auto dispatcher = fleet(2);
+    auto& failing = engine(dispatcher, 1);
+    microseconds last_pause{0};
     for (call_key key = 1; key <= 3; ++key)
     {
-        bad.avoid_until = mono_time{};
-        all.sends[key] = open_send{bad.key, at(10), 0, 0, true};
-        ++bad.open_calls;
-        on_send_end(all, key, send_outcome::cut, at(20));
-        auto const pause = bad.avoid_until - at(20);
-        EXPECT_GT(pause, last);
-        last = pause;
+        failing.avoid_until = mono_time{};
+        dispatcher.sends[key] = open_send{failing.key, at(10), 0, 0, true};
+        ++failing.open_calls;
+        on_send_end(dispatcher, key, send_outcome::cut, at(20));
+        auto const pause = failing.avoid_until - at(20);
+        EXPECT_GT(pause, last_pause);
+        last_pause = pause;
     }
-    EXPECT_EQ(choose(all, prompt_call(9, 77), at(30))->upstream,
-              engine(all, 2).key);
-    EXPECT_LT(recent_failures(all, bad, at(20'000)), 0.1);
+    EXPECT_EQ(choose(dispatcher, prompt_call(9, 77), at(30))->upstream,
+              engine(dispatcher, 2).key);
+    EXPECT_LT(recent_failures(dispatcher, failing, at(20'000)), 0.1);
 }
 
 // When engines restarted, the older of two records of one address was taken for
 // the engine, so that no order or call reached it.
 TEST(upstreams, the_upstream_that_started_last_has_the_address)
 {
-    auto all = fleet(2);
-    auto next = engine_record(1);
-    next.id = "a-later-one";
-    next.born_ms = 2;
-    on_record(all, next);
-    EXPECT_TRUE(engine(all, 1).is_replaced);
-    EXPECT_EQ(find_by_host(all, "10.0.0.1")->record.id, "a-later-one");
+    auto dispatcher = fleet(2);
+    auto newer = engine_record(1);
+    newer.id = "a-later-one";
+    newer.born_ms = 2;
+    on_record(dispatcher, newer);
+    EXPECT_TRUE(engine(dispatcher, 1).is_replaced);
+    EXPECT_EQ(find_by_host(dispatcher, "10.0.0.1")->record.id, "a-later-one");
     auto stale = engine_record(1);
     stale.id = "an-old-one";
     stale.born_ms = 0;
-    on_record(all, stale);
-    EXPECT_EQ(find_by_host(all, "10.0.0.1")->record.id, "a-later-one");
+    on_record(dispatcher, stale);
+    EXPECT_EQ(find_by_host(dispatcher, "10.0.0.1")->record.id, "a-later-one");
 }
 
-TEST(upstreams, an_upstream_that_is_another_one_gets_nothing_more)
+TEST(upstreams, an_upstream_that_was_misdirected_to_gets_no_more_calls)
 {
-    auto all = fleet(1);
-    on_misdirected(all, engine(all, 1).key);
-    EXPECT_EQ(usable(all, "engines", at(10)), 0U);
+    auto dispatcher = fleet(1);
+    on_misdirected(dispatcher, engine(dispatcher, 1).key);
+    EXPECT_EQ(available_count(dispatcher, "engines", at(10)), 0U);
 }
 
-TEST(upstreams, a_restart_under_the_same_id_forgets_the_life_before)
+TEST(upstreams, a_restart_under_the_same_id_resets_the_state)
 {
-    auto all = fleet(1);
-    hold_parts(engine(all, 1), 77);
+    auto dispatcher = fleet(1);
+    hold_parts(engine(dispatcher, 1), 77);
     auto leaving = engine_record(1);
     leaving.is_leaving = true;
-    on_record(all, leaving);
-    on_record(all, engine_record(1));
-    EXPECT_TRUE(engine(all, 1).record.is_leaving);
-    auto reborn = engine_record(1);
-    reborn.born_ms = 2;
-    on_record(all, reborn);
-    EXPECT_FALSE(engine(all, 1).record.is_leaving);
-    EXPECT_TRUE(engine(all, 1).cache.parts.empty());
+    on_record(dispatcher, leaving);
+    on_record(dispatcher, engine_record(1));
+    EXPECT_TRUE(engine(dispatcher, 1).record.is_leaving);
+    auto restarted = engine_record(1);
+    restarted.born_ms = 2;
+    on_record(dispatcher, restarted);
+    EXPECT_FALSE(engine(dispatcher, 1).record.is_leaving);
+    EXPECT_TRUE(engine(dispatcher, 1).cache.parts.empty());
 }
 
 TEST(upstreams, a_tried_upstream_is_not_tried_again)
 {
-    auto all = fleet(1);
-    auto again = prompt_call(1, 77);
-    again.tried.push_back(engine(all, 1).key);
-    EXPECT_EQ(submit(all, again, at(10)).what, action::hold);
+    auto dispatcher = fleet(1);
+    auto retried = prompt_call(1, 77);
+    retried.tried.push_back(engine(dispatcher, 1).key);
+    EXPECT_EQ(submit(dispatcher, retried, at(10)).what, action::hold);
 }
 
 // A stream that was moved off an engine before a load of weights and then had
 // to queue stalled for over a second, and was lost when its gateway stopped.
-TEST(upstreams, a_call_has_no_alternative_while_all_others_are_out)
+TEST(upstreams, a_call_has_no_alternative_while_no_other_is_available)
 {
-    auto all = fleet(2);
+    auto dispatcher = fleet(2);
     auto const stream = prompt_call(1, 77);
-    EXPECT_TRUE(has_alternative(all, stream, engine(all, 1).key, at(10)));
+    EXPECT_TRUE(
+        has_alternative(dispatcher, stream, engine(dispatcher, 1).key, at(10)));
     auto preparing = idle_load(0);
     preparing.is_preparing = true;
-    on_load(all, engine(all, 2).key, preparing);
-    EXPECT_FALSE(has_alternative(all, stream, engine(all, 1).key, at(10)));
+    on_load(dispatcher, engine(dispatcher, 2).key, preparing);
+    EXPECT_FALSE(
+        has_alternative(dispatcher, stream, engine(dispatcher, 1).key, at(10)));
 }
 
 } // namespace jujubestand::dispatch
--- a/jujubestand/dispatch/upstreams.hpp
+++ b/jujubestand/dispatch/upstreams.hpp
@@ -9,44 +9,46 @@
 
 /// \brief Adds or updates an upstream from its registration record.
 /// \returns whether the upstream is new
-bool on_record(state& all, traffic::upstream_record const& record);
+bool on_record(state& dispatcher, traffic::upstream_record const& record);
 
 /// \brief Removes an upstream that is no longer registered.
-void on_removed(state& all, std::string const& id);
+void on_removed(state& dispatcher, std::string const& id);
 
 /// \brief Handles the refusal of a call by an upstream that it was not meant
 /// for.
-void on_misdirected(state& all, upstream_key of);
+void on_misdirected(state& dispatcher, upstream_key target_key);
 
 /// \brief Stores the latest load report of an engine.
-void on_load(state& all, upstream_key of, engine_load const& load);
+void on_load(state& dispatcher, upstream_key target_key,
+             engine_load const& load);
 
 /// \brief Applies changes of an engine's cache.
-void on_cache(state& all, upstream_key of, status::cache_delta const& delta);
+void on_cache(state& dispatcher, upstream_key target_key,
+              status::cache_delta const& delta);
 
 /// \brief Records the weights version that an answer was generated with.
-void on_weights_seen(state& all, upstream_key of, std::string const& model,
-                     std::uint64_t version);
+void on_weights_seen(state& dispatcher, upstream_key target_key,
+                     std::string const& model, std::uint64_t version);
 
 /// \brief Sets the weights version that the operator requested for a model.
 /// \param since latest time at which it can have been requested
-void on_wanted_weights(state& all, std::string const& model,
+void on_wanted_weights(state& dispatcher, std::string const& model,
                        std::uint64_t version, mono_time since);
 
 /// \brief Records that the first output of a send has arrived.
-void on_first_output(state& all, call_key call);
+void on_first_output(state& dispatcher, call_key call);
 
 /// \brief Ends a send and updates the failure state of its upstream.
-void on_send_end(state& all, call_key call, send_outcome outcome,
+void on_send_end(state& dispatcher, call_key call, send_outcome outcome,
                  mono_time now);
 
 /// \brief The upstream at an IP address, or null if there is none.
-[[nodiscard]] upstream const* find_by_host(state const& all,
+[[nodiscard]] upstream const* find_by_host(state const& dispatcher,
                                            std::string const& host);
 
 /// \brief Decayed count of an upstream's recent failures.
-[[nodiscard]] double recent_failures(state const& all, upstream const& one,
-                                     mono_time now);
+[[nodiscard]] double recent_failures(state const& dispatcher,
+                                     upstream const& target, mono_time now);
 
 } // namespace jujubestand::dispatch
 
--- a/jujubestand/retries/circuit.hpp
+++ b/jujubestand/retries/circuit.hpp
@@ -59,10 +59,10 @@
 
 /// \brief Records that a request failed through a fault of the upstream or its
 /// link.
-/// \param draw random bits for the jitter
+/// \param random_bits source of the jitter
 /// \returns whether this opened the circuit
 bool take_failure(circuit& state, circuit_options const& options, mono_time now,
-                  std::uint64_t draw) noexcept;
+                  std::uint64_t random_bits) noexcept;
 
 } // namespace jujubestand::retries
 
--- a/jujubestand/retries/retry.cpp
+++ b/jujubestand/retries/retry.cpp
@@ -33,7 +33,7 @@
 /// Exponential backoff with full jitter, from 0 to a bound that doubles per
 /// attempt, so that requests that failed together are not retried together.
 microseconds backoff(retry_options const& options, std::uint32_t attempts,
-                     std::uint64_t draw)
+                     std::uint64_t random_bits)
 {
     std::uint32_t const doublings =
         std::min(attempts > 0 ? attempts - 1 : 0, doublings_limit);
@@ -41,16 +41,17 @@
         options.backoff_base * (std::int64_t{1} << doublings),
         options.backoff_limit);
     auto const range = static_cast<std::uint64_t>(bound.count()) + 1;
-    return microseconds(static_cast<std::int64_t>(draw % range));
+    return microseconds(static_cast<std::int64_t>(random_bits % range));
 }
 
 /// Delay before the next attempt: a refusing upstream's `retry_after` applies
 /// only if there is no other upstream to try.
 microseconds delay_of(retry_options const& options,
                       request_progress const& progress,
-                      attempt_failure const& failure, std::uint64_t draw)
+                      attempt_failure const& failure, std::uint64_t random_bits)
 {
-    microseconds const jittered = backoff(options, progress.attempts, draw);
+    microseconds const jittered =
+        backoff(options, progress.attempts, random_bits);
     if (failure.has_alternative)
         return progress.attempts <= 1 ? microseconds{0} : jittered;
     return failure.retry_after + jittered;
@@ -100,7 +101,7 @@
 retry_decision decide(retry_budget& budget, retry_options const& options,
                       request_progress const& progress,
                       attempt_failure const& failure, mono_time now,
-                      std::uint64_t draw)
+                      std::uint64_t random_bits)
 {
     retry_decision decision;
     if (!may_run_again(progress) || is_final(failure.why.code))
@@ -113,7 +114,8 @@
         decision.why = reason_code::attempts_spent;
         return decision;
     }
-    mono_time const at = now + delay_of(options, progress, failure, draw);
+    mono_time const at =
+        now + delay_of(options, progress, failure, random_bits);
     if (at + options.time_left_min > progress.deadline)
     {
         decision.why = reason_code::deadline_unreachable;
@@ -137,9 +139,10 @@
         progress.attempts != 1)
         return false;
     std::chrono::duration<double, std::micro> const usual = first_token_usual;
-    auto const patience = std::max<std::chrono::duration<double, std::micro>>(
-        usual * options.hedge_factor, options.hedge_delay_min);
-    if (waited < patience || now + options.time_left_min > progress.deadline)
+    auto const hedge_delay =
+        std::max<std::chrono::duration<double, std::micro>>(
+            usual * options.hedge_factor, options.hedge_delay_min);
+    if (waited < hedge_delay || now + options.time_left_min > progress.deadline)
         return false;
     return spend(budget, options, now);
 }
--- a/jujubestand/retries/retry.hpp
+++ b/jujubestand/retries/retry.hpp
@@ -78,12 +78,12 @@
 
 /// \brief Decides whether to retry: the verdict alone determines whether a
 /// retry is safe; budget, attempts and deadline whether it is worthwhile.
-/// \param draw random bits for the jitter
+/// \param random_bits source of the jitter
 [[nodiscard]] retry_decision decide(retry_budget& budget,
                                     retry_options const& options,
                                     request_progress const& progress,
                                     attempt_failure const& failure,
-                                    mono_time now, std::uint64_t draw);
+                                    mono_time now, std::uint64_t random_bits);
 
 /// \brief Whether a hedge, which is a second attempt in parallel to the first,
 /// may start; spends budget if so.
--- a/jujubestand/retries/test/circuit_test.cpp
+++ b/jujubestand/retries/test/circuit_test.cpp
@@ -63,7 +63,7 @@
     EXPECT_TRUE(try_pass(state, options, later + options.trial_limit));
 }
 
-TEST(circuit, mode_names_lead_both_ways)
+TEST(circuit, mode_names_round_trip)
 {
     for (auto const& row : circuit_mode_names)
         EXPECT_EQ(from_name(circuit_mode_names, row.name), row.value);
--- a/jujubestand/retries/test/retry_test.cpp
+++ b/jujubestand/retries/test/retry_test.cpp
@@ -51,7 +51,7 @@
         retries(progress_of(verdict::may_have_run, false), may_have_run));
 }
 
-TEST(retry, later_refusal_does_not_undo_an_earlier_doubt)
+TEST(retry, refusal_does_not_clear_an_earlier_may_have_run)
 {
     EXPECT_FALSE(retries(progress_of(verdict::may_have_run, false),
                          failure_of(verdict::not_run)));
@@ -71,7 +71,7 @@
     EXPECT_FALSE(retries(progress, failure_of(verdict::not_run)));
 }
 
-TEST(retry, advice_counts_only_without_an_alternative)
+TEST(retry, retry_after_applies_only_without_an_alternative)
 {
     retry_budget budget;
     attempt_failure failure = failure_of(verdict::not_run);
@@ -100,7 +100,7 @@
     EXPECT_GE(retried, 990U);
 }
 
-TEST(retry, what_never_arrived_costs_no_budget)
+TEST(retry, attempts_that_never_arrived_cost_no_budget)
 {
     retry_budget budget;
     budget.saved = 0;
@@ -130,18 +130,19 @@
 }
 
 RC_GTEST_PROP(retry, backoff_stays_within_its_bound,
-              (std::uint64_t draw, std::uint8_t attempts))
+              (std::uint64_t random_bits, std::uint8_t attempts))
 {
     retry_budget budget;
-    retry_options many = options;
-    many.attempts_limit = 1'000;
+    retry_options unlimited = options;
+    unlimited.attempts_limit = 1'000;
     request_progress progress = progress_of(verdict::not_run, true);
     progress.attempts = 1U + attempts;
-    auto const decision = decide(budget, many, progress,
-                                 failure_of(verdict::not_run), start, draw);
+    auto const decision =
+        decide(budget, unlimited, progress, failure_of(verdict::not_run), start,
+               random_bits);
     RC_ASSERT(decision.is_retry);
     RC_ASSERT(decision.at >= start);
-    RC_ASSERT(decision.at <= start + many.backoff_limit);
+    RC_ASSERT(decision.at <= start + unlimited.backoff_limit);
 }
 
 TEST(hedge, only_late_idempotent_requests_without_output)
