--- a/jujubestand/admission/queue.cpp
+++ b/jujubestand/admission/queue.cpp
@@ -11,7 +11,8 @@
 
 constexpr double turnover_step = 0.1;
 constexpr double cost_step = 0.05;
-/// Shorter prompts tell more of an engine's fixed costs than of its tokens'.
+/// Below this prefill length the fixed cost of a request outweighs the cost
+/// per token, so the sample is not used.
 constexpr std::uint64_t tokens_to_learn_from = 512;
 
 microseconds bounded_advice(queue_options const& options, microseconds wait)
@@ -20,7 +21,9 @@
                                     options.retry_after_max);
 }
 
-/// A fixed number would hold a fast engine to that many tokens a step.
+/// Limit on the prompt tokens at the engine before their first token. It
+/// grows with the engine's speed, since a fixed limit would leave a fast
+/// engine short of work.
 double ahead_limit(queue_state const& state)
 {
     auto const least = static_cast<double>(state.options.ahead_tokens);
@@ -31,8 +34,8 @@
     return std::max(least, span.count() / state.prefill_us_per_token);
 }
 
-/// The engine always gets one request, however long, and more only while
-/// they fit.
+/// An engine with no prefill outstanding accepts a request of any length;
+/// further requests only within `ahead_limit`.
 bool has_room(queue_state const& state, queue_item const& item)
 {
     if (state.ahead_tokens == 0)
@@ -41,8 +44,8 @@
            ahead_limit(state);
 }
 
-/// Those that are waited for in vain are told at once, not when their turn
-/// comes.
+/// Drops expired requests as soon as they expire instead of when they reach
+/// the front, so that the caller gets the error early.
 void drop_expired(queue_state& state, mono_time now, dispatch& into)
 {
     while (!state.expiries.empty() && state.expiries.begin()->at <= now)
@@ -99,7 +102,8 @@
     return std::nullopt;
 }
 
-/// Tokens that less urgent requests could make room with.
+/// Whether dropping less urgent requests would free enough tokens and places
+/// for the item.
 bool can_make_room(queue_state const& state, queue_item const& item)
 {
     std::uint64_t tokens = 0;
@@ -129,8 +133,9 @@
     return known->second + item.tokens > limit;
 }
 
-/// An engine's own figure leaves out the steps that it shares with others;
-/// what first tokens took is the better one.
+/// Updates the prefill cost per token from the observed time to first token.
+/// The cost that an engine reports leaves out the time in which it shares its
+/// steps with other requests.
 void learn_cost(queue_state& state, running_item const& item, mono_time now)
 {
     if (item.ahead_tokens < tokens_to_learn_from)
@@ -157,7 +162,8 @@
     return silent > state.options.stall_after ? silent : microseconds{0};
 }
 
-/// Time by which a request offered now would miss its first token.
+/// Time by which a request offered now would exceed its first-token deadline
+/// or its overall deadline, whichever is earlier.
 microseconds lateness(queue_state const& state, queue_item const& item,
                       mono_time now)
 {
--- a/jujubestand/admission/queue.hpp
+++ b/jujubestand/admission/queue.hpp
@@ -18,62 +18,65 @@
 namespace jujubestand::admission
 {
 
-/// \brief Classes of urgency; 0 goes first.
+/// \brief Number of priority classes; class 0 is the most urgent.
 inline constexpr std::size_t priority_classes = 4;
 
-/// \brief Limits of one upstream's queue.
+/// \brief Limits and settings of one upstream's queue.
 struct queue_options
 {
     std::size_t waiting_limit = 1'024;
     std::uint64_t waiting_tokens_limit = 4'000'000;
-    /// Tokens one team may have waiting, where its route sets no limit.
+    /// Waiting tokens per team, for requests without a `team_tokens_limit` of
+    /// their own.
     std::uint64_t team_tokens_limit = 2'000'000;
-    /// Tokens each team may send per round.
+    /// Tokens added to a team's deficit per round (deficit round robin).
     std::uint32_t quantum_tokens = 2'048;
-    /// Prompts' tokens handed to the engine before their first token came:
-    /// enough to keep its batch full; the rest waits here, where it is
-    /// shared fairly and can still be dropped.
+    /// Prompt tokens at the engine whose requests have no first token yet.
+    /// Enough to keep the engine's batch full; other requests wait in this
+    /// queue, where they are scheduled fairly and can still be dropped.
     std::uint64_t ahead_tokens = 8'192;
-    /// An engine that computes more than that within this time is handed as
-    /// much as it computes in it.
+    /// For an engine that prefills more than `ahead_tokens` within this time,
+    /// the limit is the number of tokens that it prefills in this time.
     std::chrono::milliseconds ahead_time{100};
-    /// Requests at the engine at once, until it tells its slots.
+    /// Concurrent requests at the engine until it reports its slots.
     std::uint32_t slots = 16;
     double prefill_us_per_token = 100.0;
-    /// An engine that shows no sign of work for longer counts as standing
-    /// still, and all of its silence as wait.
+    /// A busy engine without output for longer than this counts as stalled;
+    /// the whole time since its last output is added to the expected wait.
     std::chrono::milliseconds stall_after{300};
-    /// Advice to come back is never shorter or longer than these.
+    /// Bounds of the retry delay advised to a refused caller.
     std::chrono::milliseconds retry_after_min{50};
     std::chrono::milliseconds retry_after_max{10'000};
 };
 
-/// \brief One request that wants the upstream.
+/// \brief A request for the upstream, as offered to the queue.
 struct queue_item
 {
     request_id request;
     team_id team;
     std::uint8_t priority = 1;
-    /// Tokens to compute: the prompt's less those believed to be cached; at
-    /// least 1 is counted.
+    /// Tokens to prefill: prompt tokens minus the tokens expected in the
+    /// cache. 0 is counted as 1.
     std::uint32_t tokens = 1;
+    /// Limit on the team's waiting tokens; 0 selects that of the queue.
     std::uint32_t team_tokens_limit = 0;
     mono_time deadline = mono_time::max();
     mono_time first_token_deadline = mono_time::max();
 };
 
-/// \brief What became of an offered request.
+/// \brief Result of offering a request to the queue.
 struct offer_result
 {
     bool is_accepted = false;
-    /// Set on refusal; the request is not in the queue then.
+    /// Set if the request was refused, that is, not queued.
     reason why;
     microseconds retry_after{0};
-    /// Less urgent requests that were dropped for it: none of them runs.
+    /// Less urgent waiting requests that were dropped to make room. None of
+    /// them has been started.
     std::vector<request_id> displaced;
 };
 
-/// \brief A request that left the queue without having run.
+/// \brief A request dropped from the queue before it was started.
 struct dropped_item
 {
     request_id request;
@@ -81,32 +84,32 @@
     microseconds retry_after{0};
 };
 
-/// \brief What the shell has to do next.
+/// \brief Requests that the caller has to start, and those to be refused.
 struct dispatch
 {
     std::vector<request_id> started;
     std::vector<dropped_item> dropped;
 };
 
-/// \brief Requests of one team in one class.
+/// \brief Waiting requests of one team in one priority class.
 struct team_queue
 {
     std::deque<queue_item> items;
     std::uint64_t deficit_tokens = 0;
 };
 
-/// \brief One class: its teams, taken in turns.
+/// \brief One priority class, scheduled by deficit round robin over its teams.
 struct class_queue
 {
     std::map<team_id, team_queue> teams;
     std::deque<team_id> turns;
-    /// The team at the front has had its quantum of this turn.
+    /// Whether the team at the front has received its quantum for this turn.
     bool is_turn_begun = false;
     std::size_t items = 0;
     std::uint64_t tokens = 0;
 };
 
-/// \brief From when on a waiting request can only be dropped.
+/// \brief Time from which a waiting request can no longer meet its deadlines.
 struct expiry
 {
     mono_time at;
@@ -115,24 +118,25 @@
     auto operator<=>(expiry const&) const = default;
 };
 
-/// \brief A request in the queue.
+/// \brief A waiting request and its entry in `queue_state::expiries`.
 struct waiting_item
 {
     queue_item item;
     expiry last;
 };
 
-/// \brief A request at the engine.
+/// \brief A request that was started at the engine.
 struct running_item
 {
     std::uint32_t tokens = 0;
     bool has_first_token = false;
     mono_time started;
-    /// Tokens that the engine had to compute before its first token.
+    /// Tokens that the engine had to prefill before this request's first
+    /// token: its own and those ahead of it when it was started.
     std::uint64_t ahead_tokens = 0;
 };
 
-/// \brief All that waits for or runs at one upstream.
+/// \brief Waiting and running requests of one upstream.
 struct queue_state
 {
     explicit queue_state(queue_options const& limits = {});
@@ -140,64 +144,74 @@
     queue_options options;
     std::array<class_queue, priority_classes> classes;
     std::unordered_map<request_id, waiting_item> waiting;
-    /// Waiting requests by the time from which starting them is no use.
+    /// Waiting requests, ordered by expiry.
     std::set<expiry> expiries;
     std::unordered_map<team_id, std::uint64_t> team_tokens;
     std::unordered_map<request_id, running_item> running;
     std::uint64_t waiting_tokens = 0;
-    /// Tokens at the engine whose first token has not come yet.
+    /// Prompt tokens of running requests that have no first token yet.
     std::uint64_t ahead_tokens = 0;
     std::uint32_t slots = 0;
     double prefill_us_per_token = 0;
+    /// Whether `prefill_us_per_token` comes from observed first tokens; the
+    /// engine's reported cost is ignored from then on.
     bool has_learned_cost = false;
-    /// Mean time from one end to the next while all slots were taken.
+    /// Moving average of the time between two finished requests while all
+    /// slots were occupied.
     double slot_turnover_us = 0;
     mono_time last_finish;
-    /// The engine's last sign of work.
+    /// Time of the engine's last output, or of the first start after it was
+    /// idle.
     mono_time last_progress;
 };
 
-/// \brief What the engine last told of itself.
+/// \brief Figures last reported by the engine.
 struct engine_report
 {
     std::uint32_t slots = 0;
     double prefill_us_per_token = 0;
 };
 
-/// \brief Takes the engine's own figures in; zeros leave the former ones.
+/// \brief Applies the figures reported by the engine; a zero leaves the
+/// current value unchanged.
 void take_report(queue_state& state, engine_report const& report);
 
-/// \brief Time until the engine would begin a request of this priority.
+/// \brief Expected time until the engine begins the prefill of a new request
+/// of this priority.
 [[nodiscard]] microseconds expected_wait(queue_state const& state,
                                          std::uint8_t priority, mono_time now);
 
-/// \brief Puts a request in, or says why not.
+/// \brief Queues a request, or refuses it with a reason and a retry delay.
 [[nodiscard]] offer_result offer(queue_state& state, queue_item const& item,
                                  mono_time now);
 
-/// \brief Next requests for the engine, and those that are too late.
+/// \brief Starts as many waiting requests as the engine has room for and drops
+/// the expired ones.
 ///
-/// Call after each offer, first token and end, and at `next_expiry`.
+/// Call after each offer, first token and finished request, and at
+/// `next_expiry`.
 [[nodiscard]] dispatch next(queue_state& state, mono_time now);
 
-/// \brief When the first waiting request has to be dropped, if any waits.
+/// \brief Expiry of the waiting request that expires first, if any.
 [[nodiscard]] std::optional<mono_time> next_expiry(queue_state const& state);
 
-/// \brief Takes a waiting request out. \returns whether it was waiting: then
-/// it has not run and never will
+/// \brief Removes a waiting request.
+/// \returns whether it was waiting; if so, it has not been started and will
+/// not be
 [[nodiscard]] bool cancel(queue_state& state, request_id const& request);
 
-/// \brief Takes everything waiting out, as when the upstream is lost.
+/// \brief Removes all waiting requests, for example when the upstream is lost.
+/// \returns the removed requests
 [[nodiscard]] std::vector<request_id> cancel_all(queue_state& state);
 
-/// \brief A running request's first token came.
+/// \brief Records the first token of a running request.
 void take_first_token(queue_state& state, request_id const& request,
                       mono_time now);
 
-/// \brief The engine sent a piece of some answer.
+/// \brief Records that the engine sent output for any of its requests.
 void take_progress(queue_state& state, mono_time now);
 
-/// \brief A running request ended, in whatever way.
+/// \brief Records the end of a running request, successful or not.
 void take_finish(queue_state& state, request_id const& request, mono_time now);
 
 } // namespace jujubestand::admission
--- a/jujubestand/admission/queue_items.cpp
+++ b/jujubestand/admission/queue_items.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Accounts for an item that has left its team's queue.
+/// Updates counters and indexes for an item removed from its team's queue.
 void forget_item(queue_state& state, queue_item const& item)
 {
     class_queue& group = state.classes[class_of(item.priority)];
@@ -24,7 +24,7 @@
     state.waiting.erase(place);
 }
 
-/// A team without items takes no turn and saves no deficit.
+/// Removes a team without items from the rotation; its deficit is discarded.
 void end_team_if_empty(class_queue& group, team_id const& team)
 {
     auto const found = group.teams.find(team);
@@ -50,8 +50,8 @@
     return scaled(static_cast<double>(tokens) * state.prefill_us_per_token);
 }
 
-// A request whose first token would come too late has nothing to wait for,
-// though its deadline for the whole answer be far.
+// A request that can no longer meet its first-token deadline expires even if
+// its overall deadline is later.
 expiry expiry_of(queue_state const& state, queue_item const& item)
 {
     mono_time at = item.deadline;
@@ -92,8 +92,8 @@
     end_team_if_empty(group, item.team);
 }
 
-// Gives turns until a team's deficit covers its first item; that item is
-// the class's next. Every round adds a quantum, so this ends.
+// Rotates the teams until the deficit of one covers its first item. Terminates
+// because each round adds a quantum to every deficit.
 queue_item const* front_of(queue_state const& state, class_queue& group)
 {
     while (!group.turns.empty())
--- a/jujubestand/admission/queue_items.hpp
+++ b/jujubestand/admission/queue_items.hpp
@@ -5,32 +5,35 @@
 #include <cstdint>
 #include <jujubestand/admission/queue.hpp>
 
-/// \brief Items of a queue by class, team and expiry; for the queue only.
+/// \brief Bookkeeping of queued items by class, team and expiry. Internal to
+/// the admission queue.
 namespace jujubestand::admission
 {
 
-/// \brief Place of the class that a priority belongs to.
+/// \brief Index of the class of a priority; higher values share the last one.
 [[nodiscard]] std::size_t class_of(std::uint8_t priority);
 
-/// \brief Time in which the engine reads a prompt of that many tokens.
+/// \brief Expected time in which the engine prefills this many tokens.
 [[nodiscard]] microseconds compute_time(queue_state const& state,
                                         std::uint64_t tokens);
 
-/// \brief When an item has nothing to wait for any more.
+/// \brief Time from which an item can no longer meet its deadlines.
 [[nodiscard]] expiry expiry_of(queue_state const& state,
                                queue_item const& item);
 
-/// \brief Adds an item behind those of its team.
+/// \brief Appends an item to the queue of its team.
 void push_item(queue_state& state, queue_item const& item);
 
-/// \brief Takes an item out, wherever it stands.
+/// \brief Removes an item at any position of its team's queue.
 void remove_item(queue_state& state, queue_item const& item);
 
-/// \brief The item of a class whose turn it is; null if there is none.
+/// \brief Next item of a class by deficit round robin; null if the class is
+/// empty. Adds the quantum of each turn that begins.
 [[nodiscard]] queue_item const* front_of(queue_state const& state,
                                          class_queue& group);
 
-/// \brief Takes out the item whose turn it is.
+/// \brief Removes the item returned by `front_of` and subtracts its tokens from
+/// its team's deficit.
 void pop_front(queue_state& state, class_queue& group, queue_item const& item);
 
 } // namespace jujubestand::admission
--- a/jujubestand/admission/test/queue_test.cpp
+++ b/jujubestand/admission/test/queue_test.cpp
@@ -38,7 +38,8 @@
     return options;
 }
 
-/// Runs everything waiting, one after the other. \returns the order
+/// Runs all waiting requests one after the other.
+/// \returns the order in which they were started
 std::vector<request_id> drain(queue_state& state)
 {
     std::vector<request_id> order;
@@ -55,7 +56,7 @@
     }
 }
 
-/// The same rule over plain vectors: scans everything on each step.
+/// Reference model: deficit round robin by linear scans over plain vectors.
 struct naive_queue
 {
     std::vector<queue_item> items;
