--- a/jujubestand/placement/candidates.cpp
+++ b/jujubestand/placement/candidates.cpp
@@ -40,8 +40,7 @@
     return best;
 }
 
-// The level that brings the most tokens: the longest shared text ends
-// there, if the prompt has one.
+// If the prompt contains a long shared text, that text ends at this level.
 std::size_t heaviest_level(prefix::chain const& prompt)
 {
     std::size_t heaviest = 0;
@@ -91,8 +90,8 @@
     }
 }
 
-// Of two drawn upstreams the one that is known to be less busy: keeps an
-// escape among the probes when all that hold the prefix are overloaded.
+// Keeps an alternative among the probed upstreams when all those that cache the
+// prefix are overloaded.
 std::optional<std::size_t> less_busy_of_two(placement_state const& state,
                                             placement_request const& request,
                                             mono_time now, std::uint64_t draw)
--- a/jujubestand/placement/candidates.hpp
+++ b/jujubestand/placement/candidates.hpp
@@ -6,35 +6,39 @@
 #include <optional>
 #include <vector>
 
-/// \brief Upstreams that are worth a look; for the placement only.
+/// \brief Selection of candidate upstreams. Internal to placement.
 namespace jujubestand::placement
 {
 
-/// \brief One upstream and how well it suits a level.
+/// \brief An upstream and its rendezvous score for a level.
 struct ranked
 {
+    /// Index into `placement_state::views`.
     std::size_t view = 0;
     double score = 0;
 };
 
-/// \brief The candidates of one level, best first.
+/// \brief Up to `count` candidates for a level, highest score first.
 [[nodiscard]] std::vector<ranked> ranks_of(placement_state const& state,
                                            placement_request const& request,
                                            prefix::level_key const& key,
                                            std::size_t count, mono_time now);
 
-/// \brief The level that brings the most tokens.
+/// \brief Index of the level that adds the most tokens to the prompt.
 [[nodiscard]] std::size_t heaviest_level(prefix::chain const& prompt);
 
-/// \brief Adds a place that is not there yet.
+/// \brief Appends an index into `placement_state::views` unless it is already
+/// present.
 void add_unique(std::vector<std::size_t>& into, std::size_t view);
 
-/// \brief Adds upstreams at which the deepest remembered level was placed last.
+/// \brief Adds the candidates at which the deepest level found in the placement
+/// history was placed last.
 void add_remembered(placement_state const& state,
                     placement_request const& request, mono_time now,
                     std::vector<std::size_t>& into);
 
-/// \brief Of two drawn upstreams the one that is known to be less busy.
+/// \brief Draws two candidates and returns the one with the lower known wait
+/// and round trip (power of two choices).
 [[nodiscard]] std::optional<std::size_t>
 less_busy_of_two(placement_state const& state, placement_request const& request,
                  mono_time now, std::uint64_t draw);
--- a/jujubestand/placement/placement.cpp
+++ b/jujubestand/placement/placement.cpp
@@ -12,8 +12,9 @@
 namespace
 {
 
-/// Takes back what an old reply would rule out: nothing else would ask the
-/// upstream again, and its sidecar refuses what it must not run.
+/// Resets the fields of an outdated reply that would rule the upstream out.
+/// Otherwise, an upstream that gets no probes would never be used again; its
+/// sidecar still refuses requests that it must not run.
 void forget_old_refusals(link::probe_reply& reply, upstream_view const& view,
                          placement_options const& options,
                          placement_request const& request, mono_time now)
@@ -27,8 +28,8 @@
     reply.leaving = reply.leaving && age < options.memory_lifetime;
 }
 
-/// A reply to stand in where there was no probe: what the upstream said
-/// last, with the tokens that this entry remembers placing there.
+/// Substitute for the reply of an upstream that was not probed: its last reply,
+/// with the cached tokens estimated from the placement history of this entry.
 link::probe_reply assumed_reply(placement_state const& state,
                                 upstream_view const& view,
                                 placement_request const& request, mono_time now)
--- a/jujubestand/placement/placement.hpp
+++ b/jujubestand/placement/placement.hpp
@@ -21,88 +21,100 @@
 namespace jujubestand::placement
 {
 
-/// \brief Tuning of the choice; one formula for all pools.
+/// \brief Parameters of the cost formula and of probing; the same for all
+/// pools.
 struct placement_options
 {
-    /// Probes sent for one request, at most.
+    /// Maximum number of probes per request.
     std::size_t probes_limit = 3;
+    /// Capacity of the placement history, in prefix levels.
     std::size_t memory_levels = 16'384;
-    /// Work, sent by this entry, that a reply may not have seen yet.
+    /// Period in which work sent by this entry may be missing from an
+    /// upstream's reply. Older work is dropped, and an older reply no longer
+    /// rules the upstream out, unless it is leaving.
     std::chrono::milliseconds sent_lifetime{1'000};
-    /// An earlier reply may stand in for a probe up to this age.
+    /// Maximum age of an earlier reply used in place of a probe.
     std::chrono::milliseconds reply_lifetime{20};
+    /// Maximum age of an entry of the placement history, and of a reply that
+    /// says that its upstream is leaving.
     std::chrono::milliseconds memory_lifetime{60'000};
-    /// Prompts whose whole computing costs less than this are not probed
-    /// for.
+    /// Minimum prefill time of a whole prompt for which probes are sent.
     microseconds probe_pays_from{2'000};
-    /// Assumed until a reply tells better.
+    /// Used to decide on probing, and where a reply reports no prefill cost.
     double prefill_us_per_token = 100.0;
-    /// Weight of computing again what is cached, beside the time it takes.
+    /// Additional weight of the prefill time in the cost, which favours reuse
+    /// of cached prefixes. Scaled by 1 - `tail_weight`.
     double reuse_weight = 1.0;
+    /// Engine age below which wait and prefill times count higher.
     std::chrono::milliseconds slow_start{10'000};
-    /// How much dearer a newcomer's time counts at its first moment.
+    /// Factor on wait and prefill times at engine age 0; falls linearly to 1.
     double slow_start_factor = 3.0;
-    /// Cost of an upstream that has to load the adapter first.
+    /// Wait added for an upstream that has to load the adapter first.
     std::chrono::milliseconds adapter_load{2'000};
-    /// One-way time at which an upstream's weight as a candidate is halved.
+    /// One-way delay at which an upstream's rendezvous weight is halved.
     std::chrono::milliseconds distance_half{20};
 };
 
-/// \brief One upstream of a pool, as membership and settings know it.
+/// \brief An upstream of a pool, from membership and settings.
 struct member
 {
     upstream_id upstream;
     data_centre_id data_centre;
-    /// One way from this entry.
+    /// One-way delay from this entry.
     microseconds distance{0};
     bool is_leaving = false;
     bool is_suspect = false;
 };
 
-/// \brief What a request asks of its upstream.
+/// \brief Requirements of a request on its upstream.
 struct placement_request
 {
     pool_id pool;
     std::string adapter;
-    /// Empty: any version will do.
+    /// Empty if any version is acceptable.
     std::string weights_version;
     std::string role = "mixed";
+    /// From 0 to 1: 1 minimises the expected time to first token alone; lower
+    /// values give more weight to prefix reuse.
     double tail_weight = 0.5;
     prefix::chain prompt;
-    /// Upstreams that earlier attempts were refused by.
+    /// Upstreams that refused earlier attempts of this request.
     std::vector<upstream_id> excluded;
 };
 
-/// \brief Work sent to an upstream and when.
+/// \brief Expected prefill time of a request sent to an upstream, and the time
+/// of sending.
 struct sent_work
 {
     mono_time at;
     microseconds work{0};
 };
 
-/// \brief What this entry knows of one upstream.
+/// \brief State that this entry keeps for one upstream.
 struct upstream_view
 {
     member who;
     std::uint64_t name_hash = 0;
     bool has_reply = false;
-    /// Learned from probes; 0 until the first reply.
+    /// Estimated from probes; 0 until the first reply.
     microseconds round_trip{0};
     mono_time reply_at;
-    /// When the probe behind `reply` was sent.
+    /// When the probe answered by `reply` was sent.
     mono_time probed_at;
     link::probe_reply reply;
     std::deque<sent_work> sent;
 };
 
-/// \brief Where a level was last placed.
+/// \brief The upstreams at which a prefix level was last placed, most recent
+/// first.
 struct placed_level
 {
     std::array<upstream_id, 2> upstreams;
     mono_time at;
 };
 
-/// \brief All that placement keeps for one pool; a new one serves at once.
+/// \brief Placement state of one pool. Usable without any earlier probe or
+/// request.
 struct placement_state
 {
     explicit placement_state(placement_options const& tuning = {});
@@ -113,14 +125,14 @@
     recent_map<prefix::level_key, placed_level> memory;
 };
 
-/// \brief Whom to ask before choosing.
+/// \brief Upstreams to probe before choosing.
 struct probe_plan
 {
-    /// Empty: choose at once from what is known.
+    /// Empty if `choose` is to be called without probing.
     std::vector<upstream_id> probes;
 };
 
-/// \brief A sidecar's answer to one probe.
+/// \brief A sidecar's reply to one probe.
 struct probe_outcome
 {
     upstream_id upstream;
@@ -128,7 +140,7 @@
     link::probe_reply reply;
 };
 
-/// \brief Why an upstream was not chosen.
+/// \brief Why an upstream cannot serve a request.
 enum class rejection : std::uint8_t
 {
     none,
@@ -149,66 +161,73 @@
     {rejection::excluded, "excluded"},
 }};
 
-/// \brief Parts of an upstream's cost for a request.
+/// \brief Components of the expected cost of a request at an upstream.
 struct cost
 {
     rejection refused = rejection::none;
     microseconds wait{0};
     microseconds compute{0};
+    /// Round trip between this entry and the upstream.
     microseconds distance{0};
+    /// Work of this entry that the reply does not include yet.
     microseconds own_unseen{0};
-    /// What the choice compares; below it, the expected first token.
+    /// Value compared between upstreams; the lowest is chosen.
     double weighed_us = 0;
+    /// Expected time to first token.
     microseconds first_token{0};
     std::uint32_t cached_tokens = 0;
 };
 
-/// \brief The chosen upstream.
+/// \brief An upstream chosen for a request.
 struct choice
 {
     upstream_id upstream;
     cost expected;
-    /// Whether a reply to this request's own probe backs it.
+    /// Whether the choice is based on a reply to a probe for this request.
     bool is_probed = false;
 };
 
-/// \brief Tells the pool's members; keeps what is known of those that stay.
+/// \brief Replaces the members of the pool; the state of upstreams that remain
+/// is kept.
 void set_members(placement_state& state, std::span<member const> members);
 
-/// \brief Whom to probe for a request.
-/// \param draw random bits of the caller's, for the comparison upstream
+/// \brief Selects the upstreams to probe for a request.
+/// \param draw random bits used to draw the alternative upstream
 [[nodiscard]] probe_plan plan_probes(placement_state const& state,
                                      placement_request const& request,
                                      mono_time now, std::uint64_t draw);
 
-/// \brief Keeps a probe's reply.
+/// \brief Stores the reply to a probe unless one to a later probe is already
+/// stored.
 void take_reply(placement_state& state, probe_outcome const& outcome,
                 mono_time now);
 
 /// \brief Cost of a request at the upstream that sent `reply`.
-/// \param reply its cached tokens must be of this request's prompt
+/// \param reply its `cached_tokens` must refer to this request's prompt
 [[nodiscard]] cost cost_of(placement_state const& state,
                            upstream_view const& view,
                            placement_request const& request,
                            link::probe_reply const& reply, mono_time now);
 
-/// \brief Chooses among the upstreams that replied; from what is known of
-/// all, if none of those will do.
-/// \returns nothing if no upstream may serve the request
+/// \brief Chooses the upstream of the lowest cost among those that replied, or,
+/// if none of them can serve the request, among candidates selected from the
+/// stored state.
+/// \returns nothing if no upstream can serve the request
 [[nodiscard]] std::optional<choice>
 choose(placement_state const& state, placement_request const& request,
        std::span<probe_outcome const> replies, mono_time now,
        std::uint64_t draw);
 
-/// \brief A request was sent to the chosen upstream.
+/// \brief Records that a request was sent to the chosen upstream.
 void take_sent(placement_state& state, placement_request const& request,
                choice const& chosen, mono_time now);
 
-/// \brief An upstream refused or lost a request: what is known of it is old.
+/// \brief Records that an upstream refused or lost a request. Discards the work
+/// sent to it and, unless the upstream is leaving, its stored reply.
 void take_refusal(placement_state& state, upstream_id const& upstream,
                   bool is_leaving, mono_time now);
 
-/// \brief An answer told how much of its prompt had been cached.
+/// \brief Records how many tokens of the prompt an answer reported as cached.
 void take_usage(placement_state& state, placement_request const& request,
                 upstream_id const& upstream, std::uint32_t cached_tokens,
                 mono_time now);
--- a/jujubestand/placement/rendezvous.cpp
+++ b/jujubestand/placement/rendezvous.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Finalizer of splitmix64: spreads each input bit over the whole word.
+/// Finalizer of splitmix64: each input bit affects all output bits.
 std::uint64_t mix(std::uint64_t value) noexcept
 {
     value ^= value >> 30U;
--- a/jujubestand/placement/test/placement_test.cpp
+++ b/jujubestand/placement/test/placement_test.cpp
@@ -253,7 +253,8 @@
     }
 }
 
-// A restarted entry has no reply yet, and a short prompt asks for none.
+// A restarted entry has no replies yet, and short prompts are not probed for.
+// A required weights version must not rule out every upstream then.
 TEST(placement, a_pool_with_a_weights_version_is_served_without_a_probe)
 {
     for (std::size_t const count : {1U, 2U, 5U})
@@ -295,7 +296,7 @@
     EXPECT_FALSE(found->is_probed);
 }
 
-/// Scores every upstream by the formula as it is written in the design note.
+/// Compares the choice with a full scan by the cost formula of the design note.
 RC_GTEST_PROP(placement, agrees_with_a_chooser_that_scores_all, ())
 {
     std::size_t const count = *rc::gen::inRange<std::size_t>(1, 12);
--- a/jujubestand/placement/upstream_rules.cpp
+++ b/jujubestand/placement/upstream_rules.cpp
@@ -77,7 +77,8 @@
     return 1.0 + (options.slow_start_factor - 1.0) * (1.0 - age / whole);
 }
 
-// A reply may be late for other reasons than distance.
+// A longer time may have causes other than the network, such as load on the
+// sidecar.
 microseconds learned_round_trip(microseconds known, microseconds seen)
 {
     if (known == microseconds{0} || seen < known)
--- a/jujubestand/placement/upstream_rules.hpp
+++ b/jujubestand/placement/upstream_rules.hpp
@@ -4,42 +4,47 @@
 #include <jujubestand/placement/placement.hpp>
 #include <string>
 
-/// \brief What one upstream's view says by itself; for the placement only.
+/// \brief Rules and estimates for a single upstream. Internal to placement.
 namespace jujubestand::placement
 {
 
-/// \brief Whether an upstream holds an adapter, or none is asked for.
+/// \brief Whether the adapter is loaded at the upstream, or none is requested.
 [[nodiscard]] bool has_adapter(link::probe_reply const& reply,
                                std::string const& adapter);
 
-/// \brief Why an upstream can't take a request, by a reply of its.
+/// \brief Why an upstream cannot serve a request, according to a reply.
 [[nodiscard]] rejection rejection_of(upstream_view const& view,
                                      placement_request const& request,
                                      link::probe_reply const& reply);
 
-/// \brief Whether an upstream is worth a probe, by what is known without one.
+/// \brief Whether an upstream may be able to serve a request, according to its
+/// last reply if that is younger than `lifetime`.
 [[nodiscard]] bool is_candidate(upstream_view const& view,
                                 placement_request const& request, mono_time now,
                                 std::chrono::milliseconds lifetime);
 
-/// \brief Work sent after the probe that a reply answers: the reply cannot
-/// know it.
+/// \brief Work sent since the probe that a reply answers; the reply may not
+/// include it.
 [[nodiscard]] microseconds unseen_work(upstream_view const& view,
                                        mono_time probed_at, mono_time now,
                                        std::chrono::milliseconds lifetime);
 
-/// \brief Over 1 for an engine that started lately.
+/// \brief Cost factor of a recently started engine; 1 once `slow_start` has
+/// passed.
 [[nodiscard]] double slow_start_factor(placement_options const& options,
                                        link::probe_reply const& reply);
 
-/// \brief A round trip that follows shorter times faster than longer ones.
+/// \brief Updates a round-trip estimate: adopts a shorter time at once, and
+/// moves towards a longer one gradually.
 [[nodiscard]] microseconds learned_round_trip(microseconds known,
                                               microseconds seen);
 
-/// \brief Round trip to an upstream, from its distance if none is known.
+/// \brief Estimated round trip to an upstream; at least twice its one-way
+/// distance.
 [[nodiscard]] microseconds round_trip_of(upstream_view const& view);
 
-/// \brief Wait at an upstream by its last reply, plus what was sent since.
+/// \brief Wait at an upstream according to its last reply, plus the work sent
+/// since. An outdated reply is ignored.
 [[nodiscard]] microseconds known_wait(upstream_view const& view,
                                       placement_options const& options,
                                       mono_time now);
