--- a/jujubestand/admission/queue.cpp
+++ b/jujubestand/admission/queue.cpp
@@ -9,13 +9,14 @@
 namespace
 {
 
-constexpr double turnover_step = 0.1;
-constexpr double cost_step = 0.05;
+constexpr double turnover_smoothing = 0.1;
+constexpr double cost_smoothing = 0.05;
 /// Below this prefill length the fixed cost of a request outweighs the cost
 /// per token, so the sample is not used.
-constexpr std::uint64_t tokens_to_learn_from = 512;
+constexpr std::uint64_t min_sample_tokens = 512;
 
-microseconds bounded_advice(queue_options const& options, microseconds wait)
+microseconds clamped_retry_delay(queue_options const& options,
+                                 microseconds wait)
 {
     return std::clamp<microseconds>(wait, options.retry_after_min,
                                     options.retry_after_max);
@@ -24,24 +25,24 @@
 /// Limit on the prompt tokens at the engine before their first token. It
 /// grows with the engine's speed, since a fixed limit would leave a fast
 /// engine short of work.
-double ahead_limit(queue_state const& state)
+double ahead_tokens_limit(queue_state const& state)
 {
-    auto const least = static_cast<double>(state.options.ahead_tokens);
+    auto const minimum = static_cast<double>(state.options.ahead_tokens);
     if (state.prefill_us_per_token <= 0)
-        return least;
-    auto const span =
+        return minimum;
+    auto const window =
         std::chrono::duration<double, std::micro>(state.options.ahead_time);
-    return std::max(least, span.count() / state.prefill_us_per_token);
+    return std::max(minimum, window.count() / state.prefill_us_per_token);
 }
 
 /// An engine with no prefill outstanding accepts a request of any length;
-/// further requests only within `ahead_limit`.
+/// further requests only within `ahead_tokens_limit`.
 bool has_room(queue_state const& state, queue_item const& item)
 {
-    if (state.ahead_tokens == 0)
+    if (state.prefilling_tokens == 0)
         return true;
-    return static_cast<double>(state.ahead_tokens + item.tokens) <=
-           ahead_limit(state);
+    return static_cast<double>(state.prefilling_tokens + item.tokens) <=
+           ahead_tokens_limit(state);
 }
 
 /// Drops expired requests as soon as they expire instead of when they reach
@@ -56,26 +57,27 @@
         into.dropped.push_back(dropped_item{
             request,
             reason{reason_code::deadline_passed, "waited too long", {}},
-            bounded_advice(state.options,
-                           expected_wait(state, item.priority, now))});
+            clamped_retry_delay(state.options,
+                                expected_wait(state, item.priority, now))});
     }
 }
 
-class_queue* first_class(queue_state& state)
+class_queue* most_urgent_class(queue_state& state)
 {
-    for (auto& group : state.classes)
+    for (auto& priority_class : state.classes)
     {
-        if (group.items > 0)
-            return &group;
+        if (priority_class.items > 0)
+            return &priority_class;
     }
     return nullptr;
 }
 
-offer_result refusal(reason_code code, std::string text, microseconds advice)
+offer_result refusal(reason_code code, std::string text,
+                     microseconds retry_delay)
 {
     offer_result result;
     result.why = reason{code, std::move(text), {}};
-    result.retry_after = advice;
+    result.retry_after = retry_delay;
     return result;
 }
 
@@ -89,15 +91,16 @@
 }
 
 /// The newest item of the least urgent class below `priority`.
-std::optional<queue_item> displaceable(queue_state const& state,
-                                       std::uint8_t priority)
+std::optional<queue_item> displacement_candidate(queue_state const& state,
+                                                 std::uint8_t priority)
 {
-    for (std::size_t place = priority_classes; place > class_of(priority) + 1;
-         --place)
+    for (std::size_t index = priority_classes; index > class_of(priority) + 1;
+         --index)
     {
-        class_queue const& group = state.classes[place - 1];
-        if (!group.turns.empty())
-            return group.teams.find(group.turns.back())->second.items.back();
+        class_queue const& priority_class = state.classes[index - 1];
+        if (!priority_class.rotation.empty())
+            return priority_class.teams.find(priority_class.rotation.back())
+                ->second.items.back();
     }
     return std::nullopt;
 }
@@ -108,11 +111,11 @@
 {
     std::uint64_t tokens = 0;
     std::size_t items = 0;
-    for (std::size_t place = class_of(item.priority) + 1;
-         place < priority_classes; ++place)
+    for (std::size_t index = class_of(item.priority) + 1;
+         index < priority_classes; ++index)
     {
-        tokens += state.classes[place].tokens;
-        items += state.classes[place].items;
+        tokens += state.classes[index].tokens;
+        items += state.classes[index].items;
     }
     bool const fits_tokens = state.waiting_tokens - tokens + item.tokens <=
                              state.options.waiting_tokens_limit;
@@ -124,42 +127,44 @@
 
 bool is_over_team_limit(queue_state const& state, queue_item const& item)
 {
-    auto const known = state.team_tokens.find(item.team);
-    if (known == state.team_tokens.end())
+    auto const team_total = state.team_tokens.find(item.team);
+    if (team_total == state.team_tokens.end())
         return false;
     std::uint64_t const limit = item.team_tokens_limit > 0
                                     ? item.team_tokens_limit
                                     : state.options.team_tokens_limit;
-    return known->second + item.tokens > limit;
+    return team_total->second + item.tokens > limit;
 }
 
 /// Updates the prefill cost per token from the observed time to first token.
 /// The cost that an engine reports leaves out the time in which it shares its
 /// steps with other requests.
-void learn_cost(queue_state& state, running_item const& item, mono_time now)
+void update_prefill_cost(queue_state& state, running_item const& item,
+                         mono_time now)
 {
-    if (item.ahead_tokens < tokens_to_learn_from)
+    if (item.prefill_backlog_tokens < min_sample_tokens)
         return;
-    double const seen = static_cast<double>((now - item.started).count()) /
-                        static_cast<double>(item.ahead_tokens);
+    double const observed = static_cast<double>((now - item.started).count()) /
+                            static_cast<double>(item.prefill_backlog_tokens);
     state.prefill_us_per_token +=
-        cost_step * (seen - state.prefill_us_per_token);
-    state.has_learned_cost = true;
+        cost_smoothing * (observed - state.prefill_us_per_token);
+    state.has_observed_cost = true;
 }
 
-void release_ahead(queue_state& state, running_item& item)
+void release_prefill_tokens(queue_state& state, running_item& item)
 {
     if (!item.has_first_token)
-        state.ahead_tokens -= item.tokens;
+        state.prefilling_tokens -= item.tokens;
     item.has_first_token = true;
 }
 
-microseconds silence(queue_state const& state, mono_time now)
+microseconds stalled_time(queue_state const& state, mono_time now)
 {
     if (state.running.empty() || now <= state.last_progress)
         return microseconds{0};
-    auto const silent = now - state.last_progress;
-    return silent > state.options.stall_after ? silent : microseconds{0};
+    auto const since_progress = now - state.last_progress;
+    return since_progress > state.options.stall_timeout ? since_progress
+                                                        : microseconds{0};
 }
 
 /// Time by which a request offered now would exceed its first-token deadline
@@ -170,9 +175,10 @@
     mono_time const limit = std::min(item.deadline, item.first_token_deadline);
     if (limit == mono_time::max())
         return microseconds{0};
-    mono_time const first = now + expected_wait(state, item.priority, now) +
-                            compute_time(state, item.tokens);
-    return std::max(first - limit, microseconds{0});
+    mono_time const expected_first_token =
+        now + expected_wait(state, item.priority, now) +
+        prefill_time(state, item.tokens);
+    return std::max(expected_first_token - limit, microseconds{0});
 }
 
 } // namespace
@@ -188,57 +194,58 @@
 {
     if (report.slots > 0)
         state.slots = report.slots;
-    if (report.prefill_us_per_token > 0 && !state.has_learned_cost)
+    if (report.prefill_us_per_token > 0 && !state.has_observed_cost)
         state.prefill_us_per_token = report.prefill_us_per_token;
 }
 
 microseconds expected_wait(queue_state const& state, std::uint8_t priority,
                            mono_time now)
 {
-    std::uint64_t tokens = state.ahead_tokens;
+    std::uint64_t tokens = state.prefilling_tokens;
     std::size_t items = 0;
-    for (std::size_t place = 0; place <= class_of(priority); ++place)
+    for (std::size_t index = 0; index <= class_of(priority); ++index)
     {
-        tokens += state.classes[place].tokens;
-        items += state.classes[place].items;
+        tokens += state.classes[index].tokens;
+        items += state.classes[index].items;
     }
     microseconds const compute =
-        compute_time(state, tokens) + silence(state, now);
+        prefill_time(state, tokens) + stalled_time(state, now);
     std::size_t const occupied = state.running.size() + items;
     if (occupied < state.slots)
         return compute;
-    auto const behind = static_cast<double>(occupied - state.slots + 1);
-    return std::max(compute, scaled(behind * state.slot_turnover_us));
+    auto const excess = static_cast<double>(occupied - state.slots + 1);
+    return std::max(compute, scaled(excess * state.slot_turnover_us));
 }
 
 offer_result offer(queue_state& state, queue_item const& offered, mono_time now)
 {
     queue_item item = offered;
     item.tokens = std::max(item.tokens, 1U);
-    microseconds const advice = bounded_advice(
+    microseconds const retry_delay = clamped_retry_delay(
         state.options, expected_wait(state, item.priority, now) / 2);
     if (state.waiting.contains(item.request) ||
         state.running.contains(item.request))
         return refusal(reason_code::malformed_request,
-                       "this request is here already", advice);
+                       "this request is here already", retry_delay);
     if (now >= item.deadline)
         return refusal(reason_code::deadline_passed, "came too late",
                        microseconds{0});
     if (is_over_team_limit(state, item))
         return refusal(reason_code::team_limit,
-                       "the team has too much waiting here", advice);
+                       "the team has too much waiting here", retry_delay);
     microseconds const late = lateness(state, item, now);
     if (late > microseconds{0})
         return refusal(reason_code::deadline_unreachable,
                        "the first token would come too late",
-                       bounded_advice(state.options, late));
+                       clamped_retry_delay(state.options, late));
     if (is_full(state, item) && !can_make_room(state, item))
-        return refusal(reason_code::queue_full, "the queue is full", advice);
+        return refusal(reason_code::queue_full, "the queue is full",
+                       retry_delay);
     offer_result result;
     result.is_accepted = true;
     while (is_full(state, item))
     {
-        auto const victim = displaceable(state, item.priority);
+        auto const victim = displacement_candidate(state, item.priority);
         if (!victim)
             break;
         remove_item(state, *victim);
@@ -254,20 +261,20 @@
     drop_expired(state, now, result);
     while (state.running.size() < state.slots)
     {
-        class_queue* const group = first_class(state);
-        if (group == nullptr)
+        class_queue* const priority_class = most_urgent_class(state);
+        if (priority_class == nullptr)
             break;
-        queue_item const* const front = front_of(state, *group);
+        queue_item const* const front = front_of(state, *priority_class);
         if (front == nullptr || !has_room(state, *front))
             break;
         queue_item const item = *front;
-        pop_front(state, *group, item);
-        state.ahead_tokens += item.tokens;
+        pop_front(state, *priority_class, item);
+        state.prefilling_tokens += item.tokens;
         if (state.running.empty())
             state.last_progress = now;
         state.running.emplace(
             item.request,
-            running_item{item.tokens, false, now, state.ahead_tokens});
+            running_item{item.tokens, false, now, state.prefilling_tokens});
         result.started.push_back(item.request);
     }
     return result;
@@ -292,17 +299,17 @@
 
 std::vector<request_id> cancel_all(queue_state& state)
 {
-    std::vector<request_id> gone;
-    gone.reserve(state.waiting.size());
+    std::vector<request_id> removed;
+    removed.reserve(state.waiting.size());
     for (auto const& [request, each] : state.waiting)
-        gone.push_back(request);
+        removed.push_back(request);
     state.waiting.clear();
     state.expiries.clear();
     state.team_tokens.clear();
     state.waiting_tokens = 0;
     state.classes = {};
-    std::sort(gone.begin(), gone.end());
-    return gone;
+    std::sort(removed.begin(), removed.end());
+    return removed;
 }
 
 void take_first_token(queue_state& state, request_id const& request,
@@ -311,9 +318,9 @@
     auto const found = state.running.find(request);
     if (found == state.running.end() || found->second.has_first_token)
         return;
-    learn_cost(state, found->second, now);
+    update_prefill_cost(state, found->second, now);
     state.last_progress = now;
-    release_ahead(state, found->second);
+    release_prefill_tokens(state, found->second);
 }
 
 void take_progress(queue_state& state, mono_time now)
@@ -326,14 +333,14 @@
     auto const found = state.running.find(request);
     if (found == state.running.end())
         return;
-    release_ahead(state, found->second);
+    release_prefill_tokens(state, found->second);
     bool const was_full = state.running.size() >= state.slots;
     if (was_full && state.last_finish != mono_time{})
     {
-        auto const since =
+        auto const interval =
             static_cast<double>((now - state.last_finish).count());
         state.slot_turnover_us +=
-            turnover_step * (since - state.slot_turnover_us);
+            turnover_smoothing * (interval - state.slot_turnover_us);
     }
     state.last_finish = now;
     state.running.erase(found);
--- a/jujubestand/admission/queue.hpp
+++ b/jujubestand/admission/queue.hpp
@@ -43,7 +43,7 @@
     double prefill_us_per_token = 100.0;
     /// A busy engine without output for longer than this counts as stalled;
     /// the whole time since its last output is added to the expected wait.
-    std::chrono::milliseconds stall_after{300};
+    std::chrono::milliseconds stall_timeout{300};
     /// Bounds of the retry delay advised to a refused caller.
     std::chrono::milliseconds retry_after_min{50};
     std::chrono::milliseconds retry_after_max{10'000};
@@ -102,9 +102,9 @@
 struct class_queue
 {
     std::map<team_id, team_queue> teams;
-    std::deque<team_id> turns;
+    std::deque<team_id> rotation;
     /// Whether the team at the front has received its quantum for this turn.
-    bool is_turn_begun = false;
+    bool is_quantum_added = false;
     std::size_t items = 0;
     std::uint64_t tokens = 0;
 };
@@ -122,7 +122,7 @@
 struct waiting_item
 {
     queue_item item;
-    expiry last;
+    expiry expiry_key;
 };
 
 /// \brief A request that was started at the engine.
@@ -133,7 +133,7 @@
     mono_time started;
     /// Tokens that the engine had to prefill before this request's first
     /// token: its own and those ahead of it when it was started.
-    std::uint64_t ahead_tokens = 0;
+    std::uint64_t prefill_backlog_tokens = 0;
 };
 
 /// \brief Waiting and running requests of one upstream.
@@ -150,12 +150,12 @@
     std::unordered_map<request_id, running_item> running;
     std::uint64_t waiting_tokens = 0;
     /// Prompt tokens of running requests that have no first token yet.
-    std::uint64_t ahead_tokens = 0;
+    std::uint64_t prefilling_tokens = 0;
     std::uint32_t slots = 0;
     double prefill_us_per_token = 0;
     /// Whether `prefill_us_per_token` comes from observed first tokens; the
     /// engine's reported cost is ignored from then on.
-    bool has_learned_cost = false;
+    bool has_observed_cost = false;
     /// Moving average of the time between two finished requests while all
     /// slots were occupied.
     double slot_turnover_us = 0;
--- a/jujubestand/admission/queue_items.cpp
+++ b/jujubestand/admission/queue_items.cpp
@@ -9,33 +9,34 @@
 {
 
 /// Updates counters and indexes for an item removed from its team's queue.
-void forget_item(queue_state& state, queue_item const& item)
+void untrack_item(queue_state& state, queue_item const& item)
 {
-    class_queue& group = state.classes[class_of(item.priority)];
-    --group.items;
-    group.tokens -= item.tokens;
+    class_queue& priority_class = state.classes[class_of(item.priority)];
+    --priority_class.items;
+    priority_class.tokens -= item.tokens;
     state.waiting_tokens -= item.tokens;
-    auto const spent = state.team_tokens.find(item.team);
-    spent->second -= item.tokens;
-    if (spent->second == 0)
-        state.team_tokens.erase(spent);
-    auto const place = state.waiting.find(item.request);
-    state.expiries.erase(place->second.last);
-    state.waiting.erase(place);
+    auto const team_total = state.team_tokens.find(item.team);
+    team_total->second -= item.tokens;
+    if (team_total->second == 0)
+        state.team_tokens.erase(team_total);
+    auto const position = state.waiting.find(item.request);
+    state.expiries.erase(position->second.expiry_key);
+    state.waiting.erase(position);
 }
 
 /// Removes a team without items from the rotation; its deficit is discarded.
-void end_team_if_empty(class_queue& group, team_id const& team)
+void remove_team_if_empty(class_queue& priority_class, team_id const& team)
 {
-    auto const found = group.teams.find(team);
-    if (found == group.teams.end() || !found->second.items.empty())
+    auto const found = priority_class.teams.find(team);
+    if (found == priority_class.teams.end() || !found->second.items.empty())
         return;
-    group.teams.erase(found);
-    auto const turn = std::find(group.turns.begin(), group.turns.end(), team);
-    if (turn == group.turns.begin())
-        group.is_turn_begun = false;
-    if (turn != group.turns.end())
-        group.turns.erase(turn);
+    priority_class.teams.erase(found);
+    auto const turn = std::find(priority_class.rotation.begin(),
+                                priority_class.rotation.end(), team);
+    if (turn == priority_class.rotation.begin())
+        priority_class.is_quantum_added = false;
+    if (turn != priority_class.rotation.end())
+        priority_class.rotation.erase(turn);
 }
 
 } // namespace
@@ -45,7 +46,7 @@
     return std::min<std::size_t>(priority, priority_classes - 1);
 }
 
-microseconds compute_time(queue_state const& state, std::uint64_t tokens)
+microseconds prefill_time(queue_state const& state, std::uint64_t tokens)
 {
     return scaled(static_cast<double>(tokens) * state.prefill_us_per_token);
 }
@@ -57,70 +58,72 @@
     mono_time at = item.deadline;
     if (item.first_token_deadline != mono_time::max())
         at = std::min(at, item.first_token_deadline -
-                              compute_time(state, item.tokens));
+                              prefill_time(state, item.tokens));
     return expiry{at, item.request};
 }
 
 void push_item(queue_state& state, queue_item const& item)
 {
-    class_queue& group = state.classes[class_of(item.priority)];
-    team_queue& team = group.teams[item.team];
+    class_queue& priority_class = state.classes[class_of(item.priority)];
+    team_queue& team = priority_class.teams[item.team];
     if (team.items.empty())
-        group.turns.push_back(item.team);
+        priority_class.rotation.push_back(item.team);
     team.items.push_back(item);
-    ++group.items;
-    group.tokens += item.tokens;
+    ++priority_class.items;
+    priority_class.tokens += item.tokens;
     state.waiting_tokens += item.tokens;
     state.team_tokens[item.team] += item.tokens;
-    expiry const last = expiry_of(state, item);
-    state.expiries.insert(last);
-    state.waiting.emplace(item.request, waiting_item{item, last});
+    expiry const key = expiry_of(state, item);
+    state.expiries.insert(key);
+    state.waiting.emplace(item.request, waiting_item{item, key});
 }
 
 void remove_item(queue_state& state, queue_item const& item)
 {
-    class_queue& group = state.classes[class_of(item.priority)];
-    auto const team = group.teams.find(item.team);
+    class_queue& priority_class = state.classes[class_of(item.priority)];
+    auto const team = priority_class.teams.find(item.team);
     auto& items = team->second.items;
-    auto const place = std::find_if(items.begin(), items.end(),
-                                    [&](queue_item const& each)
-                                    {
-                                        return each.request == item.request;
-                                    });
-    items.erase(place);
-    forget_item(state, item);
-    end_team_if_empty(group, item.team);
+    auto const position = std::find_if(items.begin(), items.end(),
+                                       [&](queue_item const& each)
+                                       {
+                                           return each.request == item.request;
+                                       });
+    items.erase(position);
+    untrack_item(state, item);
+    remove_team_if_empty(priority_class, item.team);
 }
 
 // Rotates the teams until the deficit of one covers its first item. Terminates
 // because each round adds a quantum to every deficit.
-queue_item const* front_of(queue_state const& state, class_queue& group)
+queue_item const* front_of(queue_state const& state,
+                           class_queue& priority_class)
 {
-    while (!group.turns.empty())
+    while (!priority_class.rotation.empty())
     {
-        team_id const team = group.turns.front();
-        team_queue& queue = group.teams.find(team)->second;
-        if (!group.is_turn_begun)
+        team_id const team = priority_class.rotation.front();
+        team_queue& queue = priority_class.teams.find(team)->second;
+        if (!priority_class.is_quantum_added)
         {
             queue.deficit_tokens += state.options.quantum_tokens;
-            group.is_turn_begun = true;
+            priority_class.is_quantum_added = true;
         }
         if (queue.deficit_tokens >= queue.items.front().tokens)
             return &queue.items.front();
-        group.turns.pop_front();
-        group.turns.push_back(team);
-        group.is_turn_begun = false;
+        priority_class.rotation.pop_front();
+        priority_class.rotation.push_back(team);
+        priority_class.is_quantum_added = false;
     }
     return nullptr;
 }
 
-void pop_front(queue_state& state, class_queue& group, queue_item const& item)
+void pop_front(queue_state& state, class_queue& priority_class,
+               queue_item const& item)
 {
-    team_queue& queue = group.teams.find(item.team)->second;
+    team_queue& queue = priority_class.teams.find(item.team)->second;
     queue.deficit_tokens -= item.tokens;
     queue.items.pop_front();
-    forget_item(state, item);
-    end_team_if_empty(group, item.team);
+    untrack_item(state, item);
+    remove_team_if_empty(priority_class, item.team);
 }
 
 } // namespace jujubestand::admission
--- a/jujubestand/admission/queue_items.hpp
+++ b/jujubestand/admission/queue_items.hpp
@@ -14,7 +14,7 @@
 [[nodiscard]] std::size_t class_of(std::uint8_t priority);
 
 /// \brief Expected time in which the engine prefills this many tokens.
-[[nodiscard]] microseconds compute_time(queue_state const& state,
+[[nodiscard]] microseconds prefill_time(queue_state const& state,
                                         std::uint64_t tokens);
 
 /// \brief Time from which an item can no longer meet its deadlines.
@@ -30,11 +30,12 @@
 /// \brief Next item of a class by deficit round robin; null if the class is
 /// empty. Adds the quantum of each turn that begins.
 [[nodiscard]] queue_item const* front_of(queue_state const& state,
-                                         class_queue& group);
+                                         class_queue& priority_class);
 
 /// \brief Removes the item returned by `front_of` and subtracts its tokens from
 /// its team's deficit.
-void pop_front(queue_state& state, class_queue& group, queue_item const& item);
+void pop_front(queue_state& state, class_queue& priority_class,
+               queue_item const& item);
 
 } // namespace jujubestand::admission
 
--- a/jujubestand/admission/test/queue_test.cpp
+++ b/jujubestand/admission/test/queue_test.cpp
@@ -30,7 +30,7 @@
     return item;
 }
 
-queue_options one_at_a_time()
+queue_options single_slot_options()
 {
     queue_options options;
     options.slots = 1;
@@ -57,12 +57,12 @@
 }
 
 /// Reference model: deficit round robin by linear scans over plain vectors.
-struct naive_queue
+struct reference_queue
 {
     std::vector<queue_item> items;
     std::map<std::pair<std::uint8_t, team_id>, std::uint64_t> deficit;
     std::map<std::uint8_t, std::vector<team_id>> turns;
-    std::map<std::uint8_t, bool> begun;
+    std::map<std::uint8_t, bool> quantum_added;
 
     void add(queue_item const& item)
     {
@@ -87,7 +87,7 @@
             return;
         auto& order = this->turns[item.priority];
         if (order.front() == item.team)
-            this->begun[item.priority] = false;
+            this->quantum_added[item.priority] = false;
         order.erase(std::find(order.begin(), order.end(), item.team));
         this->deficit.erase({item.priority, item.team});
     }
@@ -117,9 +117,9 @@
         {
             team_id const team = order.front();
             auto& saved = this->deficit[{urgent, team}];
-            if (!this->begun[urgent])
+            if (!this->quantum_added[urgent])
                 saved += quantum;
-            this->begun[urgent] = true;
+            this->quantum_added[urgent] = true;
             auto const first = std::find_if(
                 this->items.begin(), this->items.end(),
                 [&](queue_item const& each)
@@ -134,7 +134,7 @@
                 return request;
             }
             std::rotate(order.begin(), order.begin() + 1, order.end());
-            this->begun[urgent] = false;
+            this->quantum_added[urgent] = false;
         }
     }
 };
@@ -143,7 +143,7 @@
 
 TEST(queue, large_team_does_not_starve_a_small_one)
 {
-    queue_state state(one_at_a_time());
+    queue_state state(single_slot_options());
     for (std::uint64_t number = 0; number < 100; ++number)
         ASSERT_TRUE(
             offer(state, item_of(number, "large", 100), start).is_accepted);
@@ -156,7 +156,7 @@
 
 TEST(queue, shares_are_by_tokens_not_requests)
 {
-    queue_state state(one_at_a_time());
+    queue_state state(single_slot_options());
     for (std::uint64_t number = 0; number < 20; ++number)
     {
         ASSERT_TRUE(
@@ -176,7 +176,7 @@
 
 TEST(queue, urgent_goes_first)
 {
-    queue_state state(one_at_a_time());
+    queue_state state(single_slot_options());
     queue_item urgent = item_of(2, "b", 10);
     urgent.priority = 0;
     ASSERT_TRUE(offer(state, item_of(1, "a", 10), start).is_accepted);
@@ -184,7 +184,7 @@
     EXPECT_EQ(drain(state).front(), request_of(2));
 }
 
-TEST(queue, hands_over_no_more_than_keeps_the_batch_full)
+TEST(queue, limits_prompt_tokens_at_the_engine)
 {
     queue_options options;
     options.slots = 100;
@@ -198,7 +198,7 @@
     EXPECT_EQ(next(state, start).started.size(), 1U);
 }
 
-TEST(queue, a_fast_engine_is_handed_what_it_computes_in_the_stated_time)
+TEST(queue, prompt_token_limit_grows_with_engine_speed)
 {
     queue_options options;
     options.slots = 100;
@@ -211,7 +211,7 @@
     EXPECT_EQ(next(state, start).started.size(), 10U);
 }
 
-TEST(queue, longest_prompt_still_runs)
+TEST(queue, prompt_over_the_limit_starts_on_an_idle_engine)
 {
     queue_options options;
     options.ahead_tokens = 1000;
@@ -220,9 +220,9 @@
     EXPECT_EQ(next(state, start).started.size(), 1U);
 }
 
-TEST(queue, late_request_is_dropped_when_it_is_late_not_when_its_turn_comes)
+TEST(queue, expired_request_is_dropped_before_its_turn)
 {
-    queue_state state(one_at_a_time());
+    queue_state state(single_slot_options());
     queue_item late = item_of(2, "a", 1);
     late.deadline = start + 10ms;
     ASSERT_TRUE(offer(state, item_of(1, "a", 1), start).is_accepted);
@@ -238,7 +238,7 @@
     EXPECT_TRUE(next(state, start + 20ms).started.empty());
 }
 
-TEST(queue, refuses_early_what_cannot_be_in_time)
+TEST(queue, refuses_unreachable_first_token_deadline)
 {
     queue_options options;
     options.prefill_us_per_token = 1000;
@@ -257,7 +257,7 @@
 
 TEST(queue, is_bounded_and_urgent_requests_displace_others)
 {
-    queue_options options = one_at_a_time();
+    queue_options options = single_slot_options();
     options.waiting_limit = 3;
     queue_state state(options);
     for (std::uint64_t number = 0; number < 3; ++number)
@@ -275,9 +275,9 @@
     EXPECT_EQ(std::count(order.begin(), order.end(), request_of(2)), 0);
 }
 
-TEST(queue, team_limit_holds_one_team_back)
+TEST(queue, token_limit_applies_per_team)
 {
-    queue_options options = one_at_a_time();
+    queue_options options = single_slot_options();
     options.team_tokens_limit = 100;
     queue_state state(options);
     ASSERT_TRUE(offer(state, item_of(1, "a", 80), start).is_accepted);
@@ -288,7 +288,7 @@
 
 TEST(queue, cancelled_request_never_starts)
 {
-    queue_state state(one_at_a_time());
+    queue_state state(single_slot_options());
     ASSERT_TRUE(offer(state, item_of(1, "a", 1), start).is_accepted);
     ASSERT_TRUE(offer(state, item_of(2, "a", 1), start).is_accepted);
     EXPECT_TRUE(cancel(state, request_of(1)));
@@ -296,9 +296,9 @@
     EXPECT_EQ(drain(state), std::vector{request_of(2)});
 }
 
-TEST(queue, losing_the_upstream_takes_all_waiting_out)
+TEST(queue, cancel_all_removes_all_waiting_requests)
 {
-    queue_state state(one_at_a_time());
+    queue_state state(single_slot_options());
     ASSERT_TRUE(offer(state, item_of(1, "a", 1), start).is_accepted);
     ASSERT_TRUE(offer(state, item_of(2, "b", 1), start).is_accepted);
     EXPECT_EQ(cancel_all(state).size(), 2U);
@@ -306,7 +306,7 @@
     EXPECT_FALSE(next_expiry(state).has_value());
 }
 
-TEST(queue, wait_counts_what_goes_before)
+TEST(queue, expected_wait_includes_requests_served_before)
 {
     queue_options options;
     options.prefill_us_per_token = 10;
@@ -321,7 +321,7 @@
     EXPECT_EQ(expected_wait(state, 0, start), 0us);
 }
 
-TEST(queue, silent_engine_counts_as_waiting)
+TEST(queue, expected_wait_includes_stalled_time)
 {
     queue_options options;
     options.prefill_us_per_token = 10;
@@ -334,7 +334,7 @@
     EXPECT_EQ(expected_wait(state, 1, start + 2s), 1000us);
 }
 
-TEST(queue, learns_what_a_token_costs)
+TEST(queue, learns_prefill_cost_per_token)
 {
     queue_options options;
     options.prefill_us_per_token = 10;
@@ -352,11 +352,11 @@
     EXPECT_NEAR(state.prefill_us_per_token, 70.0, 1.0);
 }
 
-RC_GTEST_PROP(queue, agrees_with_the_naive_one, ())
+RC_GTEST_PROP(queue, agrees_with_reference_model, ())
 {
-    queue_options options = one_at_a_time();
+    queue_options options = single_slot_options();
     queue_state state(options);
-    naive_queue naive;
+    reference_queue reference;
     auto const steps = *rc::gen::container<std::vector<std::uint32_t>>(
         rc::gen::inRange<std::uint32_t>(0, 1000));
     std::uint64_t number = 0;
@@ -369,12 +369,12 @@
                 ++number, std::string(1, "abcd"[step % 4]), 1 + step % 300);
             item.priority = static_cast<std::uint8_t>(step % 2);
             RC_ASSERT(offer(state, item, start).is_accepted);
-            naive.add(item);
+            reference.add(item);
             waiting.push_back(item.request);
         }
         else if (step % 2 == 0)
         {
-            auto const expected = naive.take(options.quantum_tokens);
+            auto const expected = reference.take(options.quantum_tokens);
             dispatch const got = next(state, start);
             RC_ASSERT(got.started.size() == (expected ? 1U : 0U));
             if (!expected)
@@ -387,13 +387,13 @@
         {
             request_id const gone = waiting[step % waiting.size()];
             RC_ASSERT(cancel(state, gone));
-            naive.remove(gone);
+            reference.remove(gone);
             std::erase(waiting, gone);
         }
     }
     for (auto const& request : drain(state))
-        RC_ASSERT(naive.take(options.quantum_tokens) == request);
-    RC_ASSERT(naive.items.empty());
+        RC_ASSERT(reference.take(options.quantum_tokens) == request);
+    RC_ASSERT(reference.items.empty());
 }
 
 } // namespace jujubestand::admission
--- a/jujubestand/placement/candidates.hpp
+++ b/jujubestand/placement/candidates.hpp
@@ -11,18 +11,17 @@
 {
 
 /// \brief An upstream and its rendezvous score for a level.
-struct ranked
+struct ranked_upstream
 {
     /// Index into `placement_state::views`.
-    std::size_t view = 0;
+    std::size_t view_index = 0;
     double score = 0;
 };
 
 /// \brief Up to `count` candidates for a level, highest score first.
-[[nodiscard]] std::vector<ranked> ranks_of(placement_state const& state,
-                                           placement_request const& request,
-                                           prefix::level_key const& key,
-                                           std::size_t count, mono_time now);
+[[nodiscard]] std::vector<ranked_upstream>
+rank_upstreams(placement_state const& state, placement_request const& request,
+               prefix::level_key const& key, std::size_t count, mono_time now);
 
 /// \brief Index of the level that adds the most tokens to the prompt.
 [[nodiscard]] std::size_t heaviest_level(prefix::chain const& prompt);
@@ -33,15 +32,15 @@
 
 /// \brief Adds the candidates at which the deepest level found in the placement
 /// history was placed last.
-void add_remembered(placement_state const& state,
-                    placement_request const& request, mono_time now,
-                    std::vector<std::size_t>& into);
+void add_from_history(placement_state const& state,
+                      placement_request const& request, mono_time now,
+                      std::vector<std::size_t>& into);
 
 /// \brief Draws two candidates and returns the one with the lower known wait
 /// and round trip (power of two choices).
 [[nodiscard]] std::optional<std::size_t>
 less_busy_of_two(placement_state const& state, placement_request const& request,
-                 mono_time now, std::uint64_t draw);
+                 mono_time now, std::uint64_t random_bits);
 
 } // namespace jujubestand::placement
 
--- a/jujubestand/placement/placement.cpp
+++ b/jujubestand/placement/placement.cpp
@@ -15,17 +15,18 @@
 /// Resets the fields of an outdated reply that would rule the upstream out.
 /// Otherwise, an upstream that gets no probes would never be used again; its
 /// sidecar still refuses requests that it must not run.
-void forget_old_refusals(link::probe_reply& reply, upstream_view const& view,
-                         placement_options const& options,
-                         placement_request const& request, mono_time now)
+void reset_outdated_refusals(link::probe_reply& reply,
+                             upstream_view const& view,
+                             placement_options const& options,
+                             placement_request const& request, mono_time now)
 {
     auto const age = now - view.reply_at;
-    if (view.has_reply && age < options.sent_lifetime)
+    if (view.has_reply && age < options.sent_work_lifetime)
         return;
     reply.ready = true;
     reply.role.clear();
     reply.weights_version = request.weights_version;
-    reply.leaving = reply.leaving && age < options.memory_lifetime;
+    reply.leaving = reply.leaving && age < options.history_lifetime;
 }
 
 /// Substitute for the reply of an upstream that was not probed: its last reply,
@@ -39,84 +40,87 @@
         reply = view.reply;
     else
         reply.engine_age_us = std::numeric_limits<std::uint64_t>::max();
-    forget_old_refusals(reply, view, state.options, request, now);
+    reset_outdated_refusals(reply, view, state.options, request, now);
     reply.cached_tokens = 0;
     for (auto const& each : request.prompt.levels)
     {
-        placed_level const* const placed = state.memory.peek(each.key);
+        placed_level const* const placed = state.history.peek(each.key);
         if (placed == nullptr ||
-            now - placed->at > state.options.memory_lifetime)
+            now - placed->at > state.options.history_lifetime)
             continue;
-        auto const& where = placed->upstreams;
-        if (std::find(where.begin(), where.end(), view.who.upstream) !=
-            where.end())
+        auto const& placed_at = placed->upstreams;
+        if (std::find(placed_at.begin(), placed_at.end(),
+                      view.membership.upstream) != placed_at.end())
             reply.cached_tokens = each.tokens;
     }
     return reply;
 }
 
-void keep_better(std::optional<choice>& best, choice const& next)
+void keep_cheaper(std::optional<choice>& best, choice const& candidate)
 {
-    if (next.expected.refused != rejection::none)
+    if (candidate.expected_cost.rejection_reason != rejection::none)
         return;
-    if (!best || next.expected.weighed_us < best->expected.weighed_us)
-        best = next;
+    if (!best ||
+        candidate.expected_cost.weighted_us < best->expected_cost.weighted_us)
+        best = candidate;
 }
 
 std::optional<choice> choose_unprobed(placement_state const& state,
                                       placement_request const& request,
-                                      mono_time now, std::uint64_t draw)
+                                      mono_time now, std::uint64_t random_bits)
 {
-    std::vector<std::size_t> places;
-    add_remembered(state, request, now, places);
+    std::vector<std::size_t> positions;
+    add_from_history(state, request, now, positions);
     if (!request.prompt.levels.empty())
     {
-        auto const& heavy =
+        auto const& level =
             request.prompt.levels[heaviest_level(request.prompt)];
-        for (auto const& each : ranks_of(state, request, heavy.key, 2, now))
-            add_unique(places, each.view);
+        for (auto const& each :
+             rank_upstreams(state, request, level.key, 2, now))
+            add_unique(positions, each.view_index);
     }
-    if (auto const other = less_busy_of_two(state, request, now, draw))
-        add_unique(places, *other);
+    if (auto const other = less_busy_of_two(state, request, now, random_bits))
+        add_unique(positions, *other);
     std::optional<choice> best;
-    for (auto const place : places)
+    for (auto const position : positions)
     {
-        upstream_view const& view = state.views[place];
+        upstream_view const& view = state.views[position];
         auto const reply = assumed_reply(state, view, request, now);
-        keep_better(best,
-                    choice{view.who.upstream,
-                           cost_of(state, view, request, reply, now), false});
+        keep_cheaper(best,
+                     choice{view.membership.upstream,
+                            cost_of(state, view, request, reply, now), false});
     }
     return best;
 }
 
-void forget_sent(upstream_view& view, mono_time now,
-                 std::chrono::milliseconds lifetime)
+void drop_expired_work(upstream_view& view, mono_time now,
+                       std::chrono::milliseconds lifetime)
 {
-    while (!view.sent.empty() && now - view.sent.front().at >= lifetime)
-        view.sent.pop_front();
+    while (!view.recent_work.empty() &&
+           now - view.recent_work.front().at >= lifetime)
+        view.recent_work.pop_front();
 }
 
-void remember(placement_state& state, prefix::level_key const& key,
-              upstream_id const& upstream, mono_time now)
+void record_placement(placement_state& state, prefix::level_key const& key,
+                      upstream_id const& upstream, mono_time now)
 {
     placed_level placed;
-    if (placed_level const* const known = state.memory.find(key))
-        placed = *known;
+    if (placed_level const* const previous = state.history.find(key))
+        placed = *previous;
     if (placed.upstreams[0] != upstream)
     {
         placed.upstreams[1] = placed.upstreams[0];
         placed.upstreams[0] = upstream;
     }
     placed.at = now;
-    state.memory.insert(key, placed);
+    state.history.insert(key, placed);
 }
 
 } // namespace
 
-placement_state::placement_state(placement_options const& tuning)
-    : options(tuning)
-    , memory(tuning.memory_levels)
+placement_state::placement_state(placement_options const& parameters)
+    : options(parameters)
+    , history(parameters.history_levels)
 {
 }
 
@@ -127,10 +131,10 @@
     for (auto const& each : members)
     {
         upstream_view view;
-        auto const known = state.index.find(each.upstream);
-        if (known != state.index.end())
-            view = std::move(state.views[known->second]);
-        view.who = each;
+        auto const previous = state.index.find(each.upstream);
+        if (previous != state.index.end())
+            view = std::move(state.views[previous->second]);
+        view.membership = each;
         view.name_hash = name_hash_of(each.upstream.text);
         index.emplace(each.upstream, views.size());
         views.push_back(std::move(view));
@@ -141,32 +145,33 @@
 
 probe_plan plan_probes(placement_state const& state,
                        placement_request const& request, mono_time now,
-                       std::uint64_t draw)
+                       std::uint64_t random_bits)
 {
     probe_plan plan;
-    double const whole_cost =
+    double const full_prefill_us =
         request.prompt.prompt_tokens * state.options.prefill_us_per_token;
-    bool const pays = whole_cost >= static_cast<double>(
-                                        state.options.probe_pays_from.count());
-    if (!pays || state.views.size() < 2)
+    bool const is_worth_probing =
+        full_prefill_us >=
+        static_cast<double>(state.options.probe_min_prefill.count());
+    if (!is_worth_probing || state.views.size() < 2)
         return plan;
-    std::vector<std::size_t> places;
+    std::vector<std::size_t> positions;
     auto const& levels = request.prompt.levels;
     prefix::level_key const key = levels[heaviest_level(request.prompt)].key;
     auto const ranks =
-        ranks_of(state, request, key, state.options.probes_limit, now);
+        rank_upstreams(state, request, key, state.options.probes_limit, now);
     if (!ranks.empty())
-        add_unique(places, ranks.front().view);
-    add_remembered(state, request, now, places);
-    if (places.size() >= state.options.probes_limit)
-        places.resize(state.options.probes_limit - 1);
-    if (auto const other = less_busy_of_two(state, request, now, draw))
-        add_unique(places, *other);
+        add_unique(positions, ranks.front().view_index);
+    add_from_history(state, request, now, positions);
+    if (positions.size() >= state.options.probes_limit)
+        positions.resize(state.options.probes_limit - 1);
+    if (auto const other = less_busy_of_two(state, request, now, random_bits))
+        add_unique(positions, *other);
     for (auto const& each : ranks)
-        add_unique(places, each.view);
-    places.resize(std::min(places.size(), state.options.probes_limit));
-    for (auto const place : places)
-        plan.probes.push_back(state.views[place].who.upstream);
+        add_unique(positions, each.view_index);
+    positions.resize(std::min(positions.size(), state.options.probes_limit));
+    for (auto const position : positions)
+        plan.probes.push_back(state.views[position].membership.upstream);
     return plan;
 }
 
@@ -181,11 +186,11 @@
         return;
     view.has_reply = true;
     view.round_trip =
-        learned_round_trip(view.round_trip, now - outcome.sent_at);
+        updated_round_trip(view.round_trip, now - outcome.sent_at);
     view.reply_at = now;
     view.probed_at = outcome.sent_at;
     view.reply = outcome.reply;
-    forget_sent(view, now, state.options.sent_lifetime);
+    drop_expired_work(view, now, state.options.sent_work_lifetime);
 }
 
 cost cost_of(placement_state const& state, upstream_view const& view,
@@ -193,8 +198,8 @@
              mono_time now)
 {
     cost result;
-    result.refused = rejection_of(view, request, reply);
-    if (result.refused != rejection::none)
+    result.rejection_reason = rejection_of(view, request, reply);
+    if (result.rejection_reason != rejection::none)
         return result;
     placement_options const& options = state.options;
     std::uint32_t const prompt = request.prompt.prompt_tokens;
@@ -203,26 +208,29 @@
                                  ? reply.prefill_us_per_token
                                  : options.prefill_us_per_token;
     double const factor = slow_start_factor(options, reply);
-    result.compute =
+    result.prefill =
         scaled(factor * per_token * (prompt - result.cached_tokens));
-    result.wait = scaled(factor * static_cast<double>(reply.queue_wait_us));
+    result.queue_wait =
+        scaled(factor * static_cast<double>(reply.queue_wait_us));
     if (!has_adapter(reply, request.adapter))
-        result.wait += options.adapter_load;
-    result.own_unseen =
-        unseen_work(view, view.probed_at, now, options.sent_lifetime);
-    result.distance = round_trip_of(view);
-    result.first_token =
-        result.wait + result.own_unseen + result.compute + result.distance;
+        result.queue_wait += options.adapter_load_time;
+    result.own_unreported_work = unreported_work_of(view, view.probed_at, now,
+                                                    options.sent_work_lifetime);
+    result.network_round_trip = round_trip_of(view);
+    result.time_to_first_token = result.queue_wait +
+                                 result.own_unreported_work + result.prefill +
+                                 result.network_round_trip;
     double const reuse = options.reuse_weight * (1.0 - request.tail_weight);
-    result.weighed_us = static_cast<double>(result.first_token.count()) +
-                        reuse * static_cast<double>(result.compute.count());
+    result.weighted_us =
+        static_cast<double>(result.time_to_first_token.count()) +
+        reuse * static_cast<double>(result.prefill.count());
     return result;
 }
 
 std::optional<choice> choose(placement_state const& state,
                              placement_request const& request,
                              std::span<probe_outcome const> replies,
-                             mono_time now, std::uint64_t draw)
+                             mono_time now, std::uint64_t random_bits)
 {
     std::optional<choice> best;
     for (auto const& each : replies)
@@ -231,13 +239,13 @@
         if (found == state.index.end())
             continue;
         upstream_view const& view = state.views[found->second];
-        keep_better(best, choice{each.upstream,
-                                 cost_of(state, view, request, each.reply, now),
-                                 true});
+        keep_cheaper(
+            best, choice{each.upstream,
+                         cost_of(state, view, request, each.reply, now), true});
     }
     if (best)
         return best;
-    return choose_unprobed(state, request, now, draw);
+    return choose_unprobed(state, request, now, random_bits);
 }
 
 void take_sent(placement_state& state, placement_request const& request,
@@ -247,10 +255,10 @@
     if (found == state.index.end())
         return;
     upstream_view& view = state.views[found->second];
-    forget_sent(view, now, state.options.sent_lifetime);
-    view.sent.push_back(sent_work{now, chosen.expected.compute});
+    drop_expired_work(view, now, state.options.sent_work_lifetime);
+    view.recent_work.push_back(sent_work{now, chosen.expected_cost.prefill});
     for (auto const& each : request.prompt.levels)
-        remember(state, each.key, chosen.upstream, now);
+        record_placement(state, each.key, chosen.upstream, now);
 }
 
 void take_refusal(placement_state& state, upstream_id const& upstream,
@@ -263,7 +271,7 @@
     view.reply.leaving = view.reply.leaving || is_leaving;
     view.has_reply = view.reply.leaving;
     view.reply_at = now;
-    view.sent.clear();
+    view.recent_work.clear();
 }
 
 void take_usage(placement_state& state, placement_request const& request,
@@ -275,7 +283,7 @@
     for (auto const& each : request.prompt.levels)
     {
         if (each.tokens <= cached_tokens)
-            remember(state, each.key, upstream, now);
+            record_placement(state, each.key, upstream, now);
     }
 }
 
--- a/jujubestand/placement/placement.hpp
+++ b/jujubestand/placement/placement.hpp
@@ -28,31 +28,31 @@
     /// Maximum number of probes per request.
     std::size_t probes_limit = 3;
     /// Capacity of the placement history, in prefix levels.
-    std::size_t memory_levels = 16'384;
+    std::size_t history_levels = 16'384;
     /// Period in which work sent by this entry may be missing from an
     /// upstream's reply. Older work is dropped, and an older reply no longer
     /// rules the upstream out, unless it is leaving.
-    std::chrono::milliseconds sent_lifetime{1'000};
+    std::chrono::milliseconds sent_work_lifetime{1'000};
     /// Maximum age of an earlier reply used in place of a probe.
     std::chrono::milliseconds reply_lifetime{20};
     /// Maximum age of an entry of the placement history, and of a reply that
     /// says that its upstream is leaving.
-    std::chrono::milliseconds memory_lifetime{60'000};
+    std::chrono::milliseconds history_lifetime{60'000};
     /// Minimum prefill time of a whole prompt for which probes are sent.
-    microseconds probe_pays_from{2'000};
+    microseconds probe_min_prefill{2'000};
     /// Used to decide on probing, and where a reply reports no prefill cost.
     double prefill_us_per_token = 100.0;
     /// Additional weight of the prefill time in the cost, which favours reuse
     /// of cached prefixes. Scaled by 1 - `tail_weight`.
     double reuse_weight = 1.0;
     /// Engine age below which wait and prefill times count higher.
-    std::chrono::milliseconds slow_start{10'000};
+    std::chrono::milliseconds slow_start_window{10'000};
     /// Factor on wait and prefill times at engine age 0; falls linearly to 1.
     double slow_start_factor = 3.0;
     /// Wait added for an upstream that has to load the adapter first.
-    std::chrono::milliseconds adapter_load{2'000};
+    std::chrono::milliseconds adapter_load_time{2'000};
     /// One-way delay at which an upstream's rendezvous weight is halved.
-    std::chrono::milliseconds distance_half{20};
+    std::chrono::milliseconds half_weight_distance{20};
 };
 
 /// \brief An upstream of a pool, from membership and settings.
@@ -93,7 +93,7 @@
 /// \brief State that this entry keeps for one upstream.
 struct upstream_view
 {
-    member who;
+    member membership;
     std::uint64_t name_hash = 0;
     bool has_reply = false;
     /// Estimated from probes; 0 until the first reply.
@@ -102,7 +102,7 @@
     /// When the probe answered by `reply` was sent.
     mono_time probed_at;
     link::probe_reply reply;
-    std::deque<sent_work> sent;
+    std::deque<sent_work> recent_work;
 };
 
 /// \brief The upstreams at which a prefix level was last placed, most recent
@@ -117,12 +117,12 @@
 /// request.
 struct placement_state
 {
-    explicit placement_state(placement_options const& tuning = {});
+    explicit placement_state(placement_options const& parameters = {});
 
     placement_options options;
     std::vector<upstream_view> views;
     std::unordered_map<upstream_id, std::size_t> index;
-    recent_map<prefix::level_key, placed_level> memory;
+    recent_map<prefix::level_key, placed_level> history;
 };
 
 /// \brief Upstreams to probe before choosing.
@@ -164,17 +164,17 @@
 /// \brief Components of the expected cost of a request at an upstream.
 struct cost
 {
-    rejection refused = rejection::none;
-    microseconds wait{0};
-    microseconds compute{0};
+    rejection rejection_reason = rejection::none;
+    microseconds queue_wait{0};
+    microseconds prefill{0};
     /// Round trip between this entry and the upstream.
-    microseconds distance{0};
+    microseconds network_round_trip{0};
     /// Work of this entry that the reply does not include yet.
-    microseconds own_unseen{0};
+    microseconds own_unreported_work{0};
     /// Value compared between upstreams; the lowest is chosen.
-    double weighed_us = 0;
+    double weighted_us = 0;
     /// Expected time to first token.
-    microseconds first_token{0};
+    microseconds time_to_first_token{0};
     std::uint32_t cached_tokens = 0;
 };
 
@@ -182,7 +182,7 @@
 struct choice
 {
     upstream_id upstream;
-    cost expected;
+    cost expected_cost;
     /// Whether the choice is based on a reply to a probe for this request.
     bool is_probed = false;
 };
@@ -192,10 +192,10 @@
 void set_members(placement_state& state, std::span<member const> members);
 
 /// \brief Selects the upstreams to probe for a request.
-/// \param draw random bits used to draw the alternative upstream
+/// \param random_bits random bits used to draw the alternative upstream
 [[nodiscard]] probe_plan plan_probes(placement_state const& state,
                                      placement_request const& request,
-                                     mono_time now, std::uint64_t draw);
+                                     mono_time now, std::uint64_t random_bits);
 
 /// \brief Stores the reply to a probe unless one to a later probe is already
 /// stored.
@@ -216,7 +216,7 @@
 [[nodiscard]] std::optional<choice>
 choose(placement_state const& state, placement_request const& request,
        std::span<probe_outcome const> replies, mono_time now,
-       std::uint64_t draw);
+       std::uint64_t random_bits);
 
 /// \brief Records that a request was sent to the chosen upstream.
 void take_sent(placement_state& state, placement_request const& request,
--- a/jujubestand/placement/test/placement_test.cpp
+++ b/jujubestand/placement/test/placement_test.cpp
@@ -38,12 +38,13 @@
     return state;
 }
 
-placement_request request_of(std::uint64_t annex, std::uint64_t rest)
+placement_request request_of(std::uint64_t prefix_number,
+                             std::uint64_t suffix_number)
 {
     placement_request request;
     request.prompt.levels = {prefix::level{{1, 1}, 500},
-                             prefix::level{{2, annex * 7919}, 4000},
-                             prefix::level{{3, rest * 104'729}, 4100}};
+                             prefix::level{{2, prefix_number * 7919}, 4000},
+                             prefix::level{{3, suffix_number * 104'729}, 4100}};
     request.prompt.prompt_tokens = 4100;
     return request;
 }
@@ -73,14 +74,16 @@
 
 } // namespace
 
-TEST(placement, restarted_entry_probes_the_same_upstreams_at_once)
+TEST(placement, restarted_entry_probes_the_same_upstream_first)
 {
     placement_state const one = state_of(20);
     placement_state const other = state_of(20);
-    for (std::uint64_t annex = 1; annex < 50; ++annex)
+    for (std::uint64_t prefix_number = 1; prefix_number < 50; ++prefix_number)
     {
-        auto const left = plan_probes(one, request_of(annex, 1), start, 1);
-        auto const right = plan_probes(other, request_of(annex, 2), start, 1);
+        auto const left =
+            plan_probes(one, request_of(prefix_number, 1), start, 1);
+        auto const right =
+            plan_probes(other, request_of(prefix_number, 2), start, 1);
         ASSERT_FALSE(left.probes.empty());
         EXPECT_LE(left.probes.size(), one.options.probes_limit);
         EXPECT_EQ(left.probes.front(), right.probes.front());
@@ -95,10 +98,12 @@
     placement_state after;
     set_members(after, members);
     std::size_t moved = 0;
-    for (std::uint64_t annex = 1; annex <= 500; ++annex)
+    for (std::uint64_t prefix_number = 1; prefix_number <= 500; ++prefix_number)
     {
-        auto const left = plan_probes(before, request_of(annex, 1), start, 1);
-        auto const right = plan_probes(after, request_of(annex, 1), start, 1);
+        auto const left =
+            plan_probes(before, request_of(prefix_number, 1), start, 1);
+        auto const right =
+            plan_probes(after, request_of(prefix_number, 1), start, 1);
         if (left.probes.front() == upstream_of(4))
             continue;
         moved += left.probes.front() == right.probes.front() ? 0 : 1;
@@ -110,8 +115,9 @@
 {
     placement_state const state = state_of(10);
     std::map<upstream_id, std::size_t> counts;
-    for (std::uint64_t annex = 1; annex <= 2000; ++annex)
-        ++counts[plan_probes(state, request_of(annex, 1), start, 1)
+    for (std::uint64_t prefix_number = 1; prefix_number <= 2000;
+         ++prefix_number)
+        ++counts[plan_probes(state, request_of(prefix_number, 1), start, 1)
                      .probes.front()];
     for (auto const& [upstream, count] : counts)
         EXPECT_NEAR(static_cast<double>(count), 200.0, 70.0) << upstream.text;
@@ -142,25 +148,25 @@
 {
     placement_state const state = state_of(2);
     auto const request = request_of(1, 1);
-    link::probe_reply holder = idle_reply();
-    holder.cached_tokens = 4000;
-    holder.queue_wait_us = 50'000;
+    link::probe_reply cached = idle_reply();
+    cached.cached_tokens = 4000;
+    cached.queue_wait_us = 50'000;
     auto outcomes =
-        std::vector{outcome_of(0, holder), outcome_of(1, idle_reply())};
+        std::vector{outcome_of(0, cached), outcome_of(1, idle_reply())};
     EXPECT_EQ(choose_of(state, request, outcomes)->upstream, upstream_of(0));
     outcomes[0].reply.queue_wait_us = 2'000'000;
     EXPECT_EQ(choose_of(state, request, outcomes)->upstream, upstream_of(1));
 }
 
-TEST(placement, pool_weight_moves_the_balance_of_the_one_formula)
+TEST(placement, tail_weight_trades_prefix_reuse_for_latency)
 {
     placement_state const state = state_of(2);
     auto request = request_of(1, 1);
-    link::probe_reply holder = idle_reply();
-    holder.cached_tokens = 4000;
-    holder.queue_wait_us = 500'000;
+    link::probe_reply cached = idle_reply();
+    cached.cached_tokens = 4000;
+    cached.queue_wait_us = 500'000;
     auto const outcomes =
-        std::vector{outcome_of(0, holder), outcome_of(1, idle_reply())};
+        std::vector{outcome_of(0, cached), outcome_of(1, idle_reply())};
     request.tail_weight = 1.0;
     EXPECT_EQ(choose_of(state, request, outcomes)->upstream, upstream_of(1));
     request.tail_weight = 0.0;
@@ -181,7 +187,7 @@
     EXPECT_NE(choose_of(state, request, outcomes)->upstream, first->upstream);
 }
 
-TEST(placement, unfit_upstreams_are_never_chosen)
+TEST(placement, ineligible_upstreams_are_never_chosen)
 {
     placement_state const state = state_of(5);
     auto request = request_of(1, 1);
@@ -194,12 +200,12 @@
     outcomes[1].reply.ready = false;
     outcomes[2].reply.role = "decode";
     outcomes[3].reply.weights_version = "6";
-    placement_state known = state;
+    placement_state updated = state;
     for (auto const& each : outcomes)
-        take_reply(known, each, start);
-    EXPECT_FALSE(choose_of(known, request, outcomes).has_value());
+        take_reply(updated, each, start);
+    EXPECT_FALSE(choose_of(updated, request, outcomes).has_value());
     request.excluded.clear();
-    EXPECT_EQ(choose_of(known, request, outcomes)->upstream, upstream_of(4));
+    EXPECT_EQ(choose_of(updated, request, outcomes)->upstream, upstream_of(4));
 }
 
 TEST(placement, upstream_with_the_adapter_is_preferred)
@@ -215,15 +221,15 @@
     EXPECT_EQ(choose_of(state, request, outcomes)->upstream, upstream_of(1));
 }
 
-TEST(placement, empty_newcomer_starts_slowly)
+TEST(placement, new_engine_is_penalised_during_slow_start)
 {
     placement_state const state = state_of(2);
     auto const request = request_of(1, 1);
-    link::probe_reply newcomer = idle_reply();
-    newcomer.engine_age_us = 0;
+    link::probe_reply new_engine = idle_reply();
+    new_engine.engine_age_us = 0;
     link::probe_reply busy = idle_reply();
     busy.queue_wait_us = 200'000;
-    auto outcomes = std::vector{outcome_of(0, newcomer), outcome_of(1, busy)};
+    auto outcomes = std::vector{outcome_of(0, new_engine), outcome_of(1, busy)};
     EXPECT_EQ(choose_of(state, request, outcomes)->upstream, upstream_of(1));
     outcomes[0].reply.engine_age_us = 60'000'000;
     EXPECT_EQ(choose_of(state, request, outcomes)->upstream, upstream_of(0));
@@ -241,14 +247,14 @@
               upstream_of(1));
 }
 
-TEST(placement, refusal_of_a_leaving_upstream_is_heeded)
+TEST(placement, leaving_upstream_is_not_probed_after_a_refusal)
 {
     placement_state state = state_of(2);
     take_refusal(state, upstream_of(0), true, start);
-    for (std::uint64_t annex = 1; annex < 30; ++annex)
+    for (std::uint64_t prefix_number = 1; prefix_number < 30; ++prefix_number)
     {
-        auto const plan =
-            plan_probes(state, request_of(annex, 1), start, annex);
+        auto const plan = plan_probes(state, request_of(prefix_number, 1),
+                                      start, prefix_number);
         EXPECT_EQ(plan.probes, std::vector{upstream_of(1)});
     }
 }
@@ -266,7 +272,7 @@
     }
 }
 
-TEST(placement, an_old_refusal_does_not_rule_out_for_ever)
+TEST(placement, outdated_refusal_does_not_exclude_an_upstream)
 {
     auto state = state_of(1);
     auto reply = idle_reply();
@@ -277,7 +283,7 @@
     EXPECT_TRUE(choose(state, request, {}, start + 2s, 3));
 }
 
-TEST(placement, a_leaving_upstream_is_left_alone_for_longer)
+TEST(placement, leaving_upstream_stays_excluded_for_the_history_lifetime)
 {
     auto state = state_of(1);
     auto reply = idle_reply();
@@ -288,7 +294,7 @@
     EXPECT_TRUE(choose(state, request, {}, start + 61s, 3));
 }
 
-TEST(placement, probes_lost_still_leave_a_choice)
+TEST(placement, chooses_without_probe_replies)
 {
     placement_state const state = state_of(3);
     auto const found = choose_of(state, request_of(1, 1), {});
@@ -297,7 +303,7 @@
 }
 
 /// Compares the choice with a full scan by the cost formula of the design note.
-RC_GTEST_PROP(placement, agrees_with_a_chooser_that_scores_all, ())
+RC_GTEST_PROP(placement, agrees_with_a_full_scan, ())
 {
     std::size_t const count = *rc::gen::inRange<std::size_t>(1, 12);
     placement_state const state = state_of(count);
@@ -323,7 +329,7 @@
     if (least < 1e18)
     {
         RC_ASSERT(found.has_value());
-        RC_ASSERT(std::abs(found->expected.weighed_us - least) < 2.0);
+        RC_ASSERT(std::abs(found->expected_cost.weighted_us - least) < 2.0);
     }
 }
 
--- a/jujubestand/placement/upstream_rules.cpp
+++ b/jujubestand/placement/upstream_rules.cpp
@@ -27,11 +27,11 @@
                        placement_request const& request,
                        link::probe_reply const& reply)
 {
-    if (view.who.is_leaving || reply.leaving)
+    if (view.membership.is_leaving || reply.leaving)
         return rejection::leaving;
     if (!reply.ready)
         return rejection::not_ready;
-    if (is_excluded(request, view.who.upstream))
+    if (is_excluded(request, view.membership.upstream))
         return rejection::excluded;
     if (!reply.role.empty() && reply.role != request.role)
         return rejection::other_role;
@@ -44,7 +44,8 @@
 bool is_candidate(upstream_view const& view, placement_request const& request,
                   mono_time now, std::chrono::milliseconds lifetime)
 {
-    if (view.who.is_leaving || is_excluded(request, view.who.upstream))
+    if (view.membership.is_leaving ||
+        is_excluded(request, view.membership.upstream))
         return false;
     bool const is_recent = view.has_reply && now - view.reply_at < lifetime;
     if (!is_recent)
@@ -52,11 +53,12 @@
     return rejection_of(view, request, view.reply) == rejection::none;
 }
 
-microseconds unseen_work(upstream_view const& view, mono_time probed_at,
-                         mono_time now, std::chrono::milliseconds lifetime)
+microseconds unreported_work_of(upstream_view const& view, mono_time probed_at,
+                                mono_time now,
+                                std::chrono::milliseconds lifetime)
 {
     microseconds total{0};
-    for (auto const& each : view.sent)
+    for (auto const& each : view.recent_work)
     {
         bool const is_recent = now - each.at < lifetime;
         if (is_recent && each.at >= probed_at)
@@ -69,36 +71,36 @@
                          link::probe_reply const& reply)
 {
     auto const window =
-        std::chrono::duration_cast<microseconds>(options.slow_start);
+        std::chrono::duration_cast<microseconds>(options.slow_start_window);
     auto const age = static_cast<double>(reply.engine_age_us);
-    auto const whole = static_cast<double>(window.count());
-    if (age >= whole)
+    auto const window_us = static_cast<double>(window.count());
+    if (age >= window_us)
         return 1.0;
-    return 1.0 + (options.slow_start_factor - 1.0) * (1.0 - age / whole);
+    return 1.0 + (options.slow_start_factor - 1.0) * (1.0 - age / window_us);
 }
 
 // A longer time may have causes other than the network, such as load on the
 // sidecar.
-microseconds learned_round_trip(microseconds known, microseconds seen)
+microseconds updated_round_trip(microseconds estimate, microseconds observed)
 {
-    if (known == microseconds{0} || seen < known)
-        return seen;
-    constexpr std::int64_t share = 16;
-    return known + (seen - known) / share;
+    if (estimate == microseconds{0} || observed < estimate)
+        return observed;
+    constexpr std::int64_t increase_divisor = 16;
+    return estimate + (observed - estimate) / increase_divisor;
 }
 
 microseconds round_trip_of(upstream_view const& view)
 {
-    return std::max(view.round_trip, 2 * view.who.distance);
+    return std::max(view.round_trip, 2 * view.membership.distance);
 }
 
-microseconds known_wait(upstream_view const& view,
-                        placement_options const& options, mono_time now)
+microseconds estimated_wait(upstream_view const& view,
+                            placement_options const& options, mono_time now)
 {
-    auto const unseen =
-        unseen_work(view, view.probed_at, now, options.sent_lifetime);
+    auto const unseen = unreported_work_of(view, view.probed_at, now,
+                                           options.sent_work_lifetime);
     bool const is_recent =
-        view.has_reply && now - view.reply_at < options.sent_lifetime;
+        view.has_reply && now - view.reply_at < options.sent_work_lifetime;
     if (!is_recent)
         return unseen;
     return unseen + scaled(static_cast<double>(view.reply.queue_wait_us));
--- a/jujubestand/placement/upstream_rules.hpp
+++ b/jujubestand/placement/upstream_rules.hpp
@@ -25,19 +25,19 @@
 
 /// \brief Work sent since the probe that a reply answers; the reply may not
 /// include it.
-[[nodiscard]] microseconds unseen_work(upstream_view const& view,
-                                       mono_time probed_at, mono_time now,
-                                       std::chrono::milliseconds lifetime);
+[[nodiscard]] microseconds
+unreported_work_of(upstream_view const& view, mono_time probed_at,
+                   mono_time now, std::chrono::milliseconds lifetime);
 
-/// \brief Cost factor of a recently started engine; 1 once `slow_start` has
-/// passed.
+/// \brief Cost factor of a recently started engine; 1 once `slow_start_window`
+/// has passed.
 [[nodiscard]] double slow_start_factor(placement_options const& options,
                                        link::probe_reply const& reply);
 
 /// \brief Updates a round-trip estimate: adopts a shorter time at once, and
 /// moves towards a longer one gradually.
-[[nodiscard]] microseconds learned_round_trip(microseconds known,
-                                              microseconds seen);
+[[nodiscard]] microseconds updated_round_trip(microseconds estimate,
+                                              microseconds observed);
 
 /// \brief Estimated round trip to an upstream; at least twice its one-way
 /// distance.
@@ -45,9 +45,9 @@
 
 /// \brief Wait at an upstream according to its last reply, plus the work sent
 /// since. An outdated reply is ignored.
-[[nodiscard]] microseconds known_wait(upstream_view const& view,
-                                      placement_options const& options,
-                                      mono_time now);
+[[nodiscard]] microseconds estimated_wait(upstream_view const& view,
+                                          placement_options const& options,
+                                          mono_time now);
 
 } // namespace jujubestand::placement
 
