--- a/bench/micro/placement_bench.cpp
+++ b/bench/micro/placement_bench.cpp
@@ -22,7 +22,7 @@
     reply.ready = true;
     reply.role = "mixed";
     for (auto const& each : members)
-        placement::take_reply(state, {each.upstream, now, reply}, now);
+        placement::record_reply(state, {each.upstream, now, reply}, now);
     return state;
 }
 
@@ -51,12 +51,12 @@
             reply.ready = true;
             reply.role = "mixed";
             replies.push_back({upstream, now, reply});
-            placement::take_reply(state, replies.back(), now);
+            placement::record_reply(state, replies.back(), now);
         }
         auto const chosen =
             placement::choose(state, request, replies, now, draw);
         if (chosen && number % 64 == 0)
-            placement::take_sent(state, request, *chosen, now);
+            placement::record_sent(state, request, *chosen, now);
         benchmark::DoNotOptimize(chosen);
     }
 }
--- a/examples/choose_upstream.cpp
+++ b/examples/choose_upstream.cpp
@@ -60,8 +60,8 @@
     auto const chosen = placement::choose(state, request, replies, now, 7);
     if (!chosen)
         return "none";
-    placement::take_sent(state, request, *chosen, now);
-    placement::take_usage(state, request, chosen->upstream, 5'000, now);
+    placement::record_sent(state, request, *chosen, now);
+    placement::record_usage(state, request, chosen->upstream, 5'000, now);
     return chosen->upstream.text;
 }
 
--- a/jujubestand/admission/queue.cpp
+++ b/jujubestand/admission/queue.cpp
@@ -47,7 +47,7 @@
 
 /// Drops expired requests as soon as they expire instead of when they reach
 /// the front, so that the caller gets the error early.
-void drop_expired(queue_state& state, mono_time now, dispatch& into)
+void drop_expired(queue_state& state, mono_time now, schedule_result& into)
 {
     while (!state.expiries.empty() && state.expiries.begin()->at <= now)
     {
@@ -190,7 +190,7 @@
 {
 }
 
-void take_report(queue_state& state, engine_report const& report)
+void apply_report(queue_state& state, engine_report const& report)
 {
     if (report.slots > 0)
         state.slots = report.slots;
@@ -255,9 +255,9 @@
     return result;
 }
 
-dispatch next(queue_state& state, mono_time now)
+schedule_result schedule(queue_state& state, mono_time now)
 {
-    dispatch result;
+    schedule_result result;
     drop_expired(state, now, result);
     while (state.running.size() < state.slots)
     {
@@ -312,8 +312,8 @@
     return removed;
 }
 
-void take_first_token(queue_state& state, request_id const& request,
-                      mono_time now)
+void record_first_token(queue_state& state, request_id const& request,
+                        mono_time now)
 {
     auto const found = state.running.find(request);
     if (found == state.running.end() || found->second.has_first_token)
@@ -323,12 +323,12 @@
     release_prefill_tokens(state, found->second);
 }
 
-void take_progress(queue_state& state, mono_time now)
+void record_progress(queue_state& state, mono_time now)
 {
     state.last_progress = std::max(state.last_progress, now);
 }
 
-void take_finish(queue_state& state, request_id const& request, mono_time now)
+void record_finish(queue_state& state, request_id const& request, mono_time now)
 {
     auto const found = state.running.find(request);
     if (found == state.running.end())
--- a/jujubestand/admission/queue.hpp
+++ b/jujubestand/admission/queue.hpp
@@ -85,7 +85,7 @@
 };
 
 /// \brief Requests that the caller has to start, and those to be refused.
-struct dispatch
+struct schedule_result
 {
     std::vector<request_id> started;
     std::vector<dropped_item> dropped;
@@ -174,7 +174,7 @@
 
 /// \brief Applies the figures reported by the engine; a zero leaves the
 /// current value unchanged.
-void take_report(queue_state& state, engine_report const& report);
+void apply_report(queue_state& state, engine_report const& report);
 
 /// \brief Expected time until the engine begins the prefill of a new request
 /// of this priority.
@@ -190,7 +190,7 @@
 ///
 /// Call after each offer, first token and finished request, and at
 /// `next_expiry`.
-[[nodiscard]] dispatch next(queue_state& state, mono_time now);
+[[nodiscard]] schedule_result schedule(queue_state& state, mono_time now);
 
 /// \brief Expiry of the waiting request that expires first, if any.
 [[nodiscard]] std::optional<mono_time> next_expiry(queue_state const& state);
@@ -205,14 +205,15 @@
 [[nodiscard]] std::vector<request_id> cancel_all(queue_state& state);
 
 /// \brief Records the first token of a running request.
-void take_first_token(queue_state& state, request_id const& request,
-                      mono_time now);
+void record_first_token(queue_state& state, request_id const& request,
+                        mono_time now);
 
 /// \brief Records that the engine sent output for any of its requests.
-void take_progress(queue_state& state, mono_time now);
+void record_progress(queue_state& state, mono_time now);
 
 /// \brief Records the end of a running request, successful or not.
-void take_finish(queue_state& state, request_id const& request, mono_time now);
+void record_finish(queue_state& state, request_id const& request,
+                   mono_time now);
 
 } // namespace jujubestand::admission
 
--- a/jujubestand/admission/test/queue_test.cpp
+++ b/jujubestand/admission/test/queue_test.cpp
@@ -45,13 +45,13 @@
     std::vector<request_id> order;
     for (;;)
     {
-        dispatch const step = next(state, start);
+        schedule_result const step = schedule(state, start);
         if (step.started.empty())
             return order;
         for (auto const& request : step.started)
         {
             order.push_back(request);
-            take_finish(state, request, start);
+            record_finish(state, request, start);
         }
     }
 }
@@ -192,10 +192,10 @@
     queue_state state(options);
     for (std::uint64_t number = 0; number < 10; ++number)
         ASSERT_TRUE(offer(state, item_of(number, "a", 400), start).is_accepted);
-    EXPECT_EQ(next(state, start).started.size(), 2U);
-    EXPECT_TRUE(next(state, start).started.empty());
-    take_first_token(state, request_of(0), start);
-    EXPECT_EQ(next(state, start).started.size(), 1U);
+    EXPECT_EQ(schedule(state, start).started.size(), 2U);
+    EXPECT_TRUE(schedule(state, start).started.empty());
+    record_first_token(state, request_of(0), start);
+    EXPECT_EQ(schedule(state, start).started.size(), 1U);
 }
 
 TEST(queue, prompt_token_limit_grows_with_engine_speed)
@@ -208,7 +208,7 @@
     queue_state state(options);
     for (std::uint64_t number = 0; number < 20; ++number)
         ASSERT_TRUE(offer(state, item_of(number, "a", 400), start).is_accepted);
-    EXPECT_EQ(next(state, start).started.size(), 10U);
+    EXPECT_EQ(schedule(state, start).started.size(), 10U);
 }
 
 TEST(queue, prompt_over_the_limit_starts_on_an_idle_engine)
@@ -217,7 +217,7 @@
     options.ahead_tokens = 1000;
     queue_state state(options);
     ASSERT_TRUE(offer(state, item_of(1, "a", 50'000), start).is_accepted);
-    EXPECT_EQ(next(state, start).started.size(), 1U);
+    EXPECT_EQ(schedule(state, start).started.size(), 1U);
 }
 
 TEST(queue, expired_request_is_dropped_before_its_turn)
@@ -226,16 +226,16 @@
     queue_item late = item_of(2, "a", 1);
     late.deadline = start + 10ms;
     ASSERT_TRUE(offer(state, item_of(1, "a", 1), start).is_accepted);
-    ASSERT_EQ(next(state, start).started.size(), 1U);
+    ASSERT_EQ(schedule(state, start).started.size(), 1U);
     ASSERT_TRUE(offer(state, late, start).is_accepted);
     EXPECT_EQ(next_expiry(state), start + 10ms);
-    dispatch const step = next(state, start + 10ms);
+    schedule_result const step = schedule(state, start + 10ms);
     EXPECT_TRUE(step.started.empty());
     ASSERT_EQ(step.dropped.size(), 1U);
     EXPECT_EQ(step.dropped[0].why.code, reason_code::deadline_passed);
     EXPECT_FALSE(cancel(state, request_of(2)));
-    take_finish(state, request_of(1), start + 20ms);
-    EXPECT_TRUE(next(state, start + 20ms).started.empty());
+    record_finish(state, request_of(1), start + 20ms);
+    EXPECT_TRUE(schedule(state, start + 20ms).started.empty());
 }
 
 TEST(queue, refuses_unreachable_first_token_deadline)
@@ -302,7 +302,7 @@
     ASSERT_TRUE(offer(state, item_of(1, "a", 1), start).is_accepted);
     ASSERT_TRUE(offer(state, item_of(2, "b", 1), start).is_accepted);
     EXPECT_EQ(cancel_all(state).size(), 2U);
-    EXPECT_TRUE(next(state, start).started.empty());
+    EXPECT_TRUE(schedule(state, start).started.empty());
     EXPECT_FALSE(next_expiry(state).has_value());
 }
 
@@ -315,9 +315,9 @@
     ASSERT_TRUE(offer(state, item_of(1, "a", 100), start).is_accepted);
     EXPECT_EQ(expected_wait(state, 1, start), 1000us);
     EXPECT_EQ(expected_wait(state, 0, start), 0us);
-    ASSERT_EQ(next(state, start).started.size(), 1U);
+    ASSERT_EQ(schedule(state, start).started.size(), 1U);
     EXPECT_EQ(expected_wait(state, 0, start), 1000us);
-    take_first_token(state, request_of(1), start);
+    record_first_token(state, request_of(1), start);
     EXPECT_EQ(expected_wait(state, 0, start), 0us);
 }
 
@@ -327,10 +327,10 @@
     options.prefill_us_per_token = 10;
     queue_state state(options);
     ASSERT_TRUE(offer(state, item_of(1, "a", 100), start).is_accepted);
-    ASSERT_EQ(next(state, start).started.size(), 1U);
+    ASSERT_EQ(schedule(state, start).started.size(), 1U);
     EXPECT_EQ(expected_wait(state, 1, start + 100ms), 1000us);
     EXPECT_EQ(expected_wait(state, 1, start + 2s), 2s + 1000us);
-    take_progress(state, start + 2s);
+    record_progress(state, start + 2s);
     EXPECT_EQ(expected_wait(state, 1, start + 2s), 1000us);
 }
 
@@ -343,12 +343,12 @@
     {
         mono_time const at = start + number * 1s;
         ASSERT_TRUE(offer(state, item_of(number, "a", 1000), at).is_accepted);
-        ASSERT_EQ(next(state, at).started.size(), 1U);
-        take_first_token(state, request_of(number), at + 70ms);
-        take_finish(state, request_of(number), at + 100ms);
+        ASSERT_EQ(schedule(state, at).started.size(), 1U);
+        record_first_token(state, request_of(number), at + 70ms);
+        record_finish(state, request_of(number), at + 100ms);
     }
     EXPECT_NEAR(state.prefill_us_per_token, 70.0, 1.0);
-    take_report(state, {16, 10});
+    apply_report(state, {16, 10});
     EXPECT_NEAR(state.prefill_us_per_token, 70.0, 1.0);
 }
 
@@ -375,12 +375,12 @@
         else if (step % 2 == 0)
         {
             auto const expected = reference.take(options.quantum_tokens);
-            dispatch const got = next(state, start);
+            schedule_result const got = schedule(state, start);
             RC_ASSERT(got.started.size() == (expected ? 1U : 0U));
             if (!expected)
                 continue;
             RC_ASSERT(got.started[0] == *expected);
-            take_finish(state, *expected, start);
+            record_finish(state, *expected, start);
             std::erase(waiting, *expected);
         }
         else if (!waiting.empty())
--- a/jujubestand/dispatch/choice.cpp
+++ b/jujubestand/dispatch/choice.cpp
@@ -36,19 +36,19 @@
         if (found == dispatcher.upstreams.end())
             continue;
         auto const& load = found->second.load;
-        bool const is_reported = load && send.at <= load->at;
+        bool const is_reported = load && send.sent_at <= load->reported_at;
         auto& tally = result[send.upstream];
         if (!is_reported)
             tally.unreported_memory += send.memory_tokens;
-        if (!send.is_reading)
+        if (!send.is_prefilling)
             continue;
         if (is_reported)
         {
             ++tally.reported_calls;
-            tally.reported_tokens += send.reading_tokens;
+            tally.reported_tokens += send.prefill_tokens;
         }
         else
-            tally.unreported_tokens += send.reading_tokens;
+            tally.unreported_tokens += send.prefill_tokens;
     }
     return result;
 }
@@ -120,7 +120,7 @@
     using milliseconds = std::chrono::duration<double, std::milli>;
     double const left_ms =
         milliseconds(*target.load->load_due_at - now).count();
-    double const output_ms = request.asked->output_tokens_expected *
+    double const output_ms = request.model_prompt->output_tokens_expected *
                              dispatcher.limits.output_ms_per_token;
     double const duration_ms = expected_ms + output_ms;
     if (duration_ms <= left_ms)
@@ -144,7 +144,7 @@
     double const other_gateways = dispatcher.gateways - 1;
     return in_flight.reported_tokens +
            std::max(0.0, reported - in_flight.reported_calls) *
-               dispatcher.mean_reading_tokens +
+               dispatcher.mean_prefill_tokens +
            in_flight.unreported_tokens * (1.0 + other_gateways * correlation);
 }
 
@@ -156,7 +156,7 @@
 {
     constexpr double fetch_tokens_min = 64;
     auto const weights =
-        check_weights(dispatcher, target, request.asked->model, now);
+        check_weights(dispatcher, target, request.model_prompt->model, now);
     if (!weights.is_allowed)
         return std::nullopt;
     bool const is_reported = has_fresh_report(dispatcher, target, now);
@@ -177,17 +177,17 @@
     result.prefill_tokens =
         split.own_tokens + split.shared_tokens - cached - fetched;
     result.memory_tokens = split.own_tokens +
-                           request.asked->output_tokens_limit +
+                           request.model_prompt->output_tokens_limit +
                            split.shared_tokens - cached;
     if (!has_memory(dispatcher, target, in_flight, result.memory_tokens))
         return std::nullopt;
     double const backlog_ms = prefill_backlog(dispatcher, target, in_flight) /
-                              dispatcher.limits.reading_tokens_per_ms;
-    if (backlog_ms > dispatcher.limits.reading_backlog_limit_ms)
+                              dispatcher.limits.prefill_tokens_per_ms;
+    if (backlog_ms > dispatcher.limits.prefill_backlog_limit_ms)
         return std::nullopt;
     result.expected_ms =
         backlog_ms +
-        result.prefill_tokens / dispatcher.limits.reading_tokens_per_ms +
+        result.prefill_tokens / dispatcher.limits.prefill_tokens_per_ms +
         fetched * best.ms_per_token + running_cost(dispatcher, target, now) +
         weights.cost_ms + failure_cost(dispatcher, target, now);
     if (fetched > fetch_tokens_min)
@@ -201,10 +201,10 @@
     result.save_to = select_store(dispatcher, request, split, uncached, now);
     if (weights.is_old)
         result.expected_ms +=
-            uncached * dispatcher.limits.old_reread_cost_ms_per_token;
+            uncached * dispatcher.limits.old_weights_prefill_cost_ms_per_token;
     if (&target != home)
         result.expected_ms +=
-            uncached * dispatcher.limits.reread_cost_ms_per_token;
+            uncached * dispatcher.limits.repeated_prefill_cost_ms_per_token;
     result.expected_ms +=
         interruption_cost(dispatcher, target, request, result.expected_ms, now);
     return result;
@@ -247,9 +247,9 @@
     upstream const* home = nullptr;
     std::vector<part_source> sources;
     auto const in_flight = tally_sends(dispatcher);
-    if (request.asked)
+    if (request.model_prompt)
     {
-        split = split_prompt(*request.asked);
+        split = split_prompt(*request.model_prompt);
         sources = find_sources(dispatcher, request, split, now);
         home = home_engine(dispatcher, request.pool, split.home_part, now);
     }
@@ -260,7 +260,7 @@
             !is_available(dispatcher, target, now))
             continue;
         auto const candidate =
-            request.asked
+            request.model_prompt
                 ? evaluate_engine(dispatcher, target, request, split, sources,
                                   home, find_tally(in_flight, key), now)
                 : evaluate_plain(dispatcher, target, now);
--- a/jujubestand/dispatch/dispatch.cpp
+++ b/jujubestand/dispatch/dispatch.cpp
@@ -19,7 +19,7 @@
 {
     decision result;
     result.call = request.key;
-    result.what = action::refuse;
+    result.next_action = action::refuse;
     result.why = std::move(why);
     result.retry_after = retry_after;
     return result;
@@ -38,16 +38,16 @@
                          choice const& chosen, mono_time now)
 {
     constexpr std::size_t expected_limit = 512;
-    if (!request.asked || request.asked->parts.size() < 2)
+    if (!request.model_prompt || request.model_prompt->parts.size() < 2)
         return;
     if (target.expected_parts.size() > expected_limit)
         target.expected_parts.clear();
     std::string const scope =
         cache_scope(request.cache_owner, chosen.weights.value_or(0));
-    for (std::size_t index = 0; index + 1 < request.asked->parts.size();
+    for (std::size_t index = 0; index + 1 < request.model_prompt->parts.size();
          ++index)
         target.expected_parts[status::hash_of(
-            scope, request.asked->parts[index].id)] = now;
+            scope, request.model_prompt->parts[index].id)] = now;
 }
 
 decision send(state& dispatcher, call const& request, choice const& chosen,
@@ -57,20 +57,20 @@
     ++target.open_calls;
     open_send in_flight;
     in_flight.upstream = chosen.upstream;
-    in_flight.at = now;
-    in_flight.reading_tokens = chosen.prefill_tokens;
+    in_flight.sent_at = now;
+    in_flight.prefill_tokens = chosen.prefill_tokens;
     in_flight.memory_tokens = chosen.memory_tokens;
     dispatcher.sends[request.key] = in_flight;
-    if (request.asked)
+    if (request.model_prompt)
     {
         constexpr double weight = 0.02;
-        dispatcher.mean_reading_tokens +=
-            weight * (chosen.prefill_tokens - dispatcher.mean_reading_tokens);
+        dispatcher.mean_prefill_tokens +=
+            weight * (chosen.prefill_tokens - dispatcher.mean_prefill_tokens);
     }
     mark_parts_expected(target, request, chosen, now);
     decision result;
     result.call = request.key;
-    result.what = action::send;
+    result.next_action = action::send;
     result.cached_tokens = chosen.cached_tokens;
     result.upstream = chosen.upstream;
     result.weights = chosen.weights;
@@ -109,17 +109,17 @@
     double tokens = 0;
     for (auto const& [key, other] : dispatcher.waiting)
     {
-        if (other.pool == request.pool && other.asked &&
+        if (other.pool == request.pool && other.model_prompt &&
             !precedes(request, other))
-            tokens += other.asked->parts.empty()
-                          ? other.asked->input_tokens
-                          : other.asked->parts.back().tokens;
+            tokens += other.model_prompt->parts.empty()
+                          ? other.model_prompt->input_tokens
+                          : other.model_prompt->parts.back().tokens;
     }
     double const engines =
         static_cast<double>(std::max<std::size_t>(
             1, available_count(dispatcher, request.pool, now))) /
         dispatcher.gateways;
-    return tokens / (dispatcher.limits.reading_tokens_per_ms * engines);
+    return tokens / (dispatcher.limits.prefill_tokens_per_ms * engines);
 }
 
 } // namespace
@@ -144,7 +144,7 @@
     return hold(request);
 }
 
-std::vector<decision> review(state& dispatcher, mono_time now)
+std::vector<decision> decide_waiting(state& dispatcher, mono_time now)
 {
     std::vector<call const*> ordered_calls;
     ordered_calls.reserve(dispatcher.waiting.size());
@@ -177,7 +177,7 @@
     return choose(dispatcher, elsewhere, now).has_value();
 }
 
-void forget(state& dispatcher, call_key call)
+void remove_waiting(state& dispatcher, call_key call)
 {
     dispatcher.waiting.erase(call);
 }
--- a/jujubestand/dispatch/dispatch.hpp
+++ b/jujubestand/dispatch/dispatch.hpp
@@ -16,7 +16,8 @@
 /// \brief Decides again on the waiting calls, most urgent first; to be called
 /// after each change of the state and periodically.
 /// \returns decisions on the calls that stop waiting
-[[nodiscard]] std::vector<decision> review(state& dispatcher, mono_time now);
+[[nodiscard]] std::vector<decision> decide_waiting(state& dispatcher,
+                                                   mono_time now);
 
 /// \brief Whether a call that runs at an upstream could be sent to another one
 /// immediately.
@@ -24,7 +25,7 @@
                                    upstream_key excluded, mono_time now);
 
 /// \brief Removes a waiting call whose caller has disconnected.
-void forget(state& dispatcher, call_key call);
+void remove_waiting(state& dispatcher, call_key call);
 
 } // namespace jujubestand::dispatch
 
--- a/jujubestand/dispatch/parts.cpp
+++ b/jujubestand/dispatch/parts.cpp
@@ -109,7 +109,7 @@
             !is_available(dispatcher, target, now))
             continue;
         auto const weights =
-            check_weights(dispatcher, target, request.asked->model, now);
+            check_weights(dispatcher, target, request.model_prompt->model, now);
         keep_best(result, {weights.version, target.record.where, target.key,
                            cached_tokens(dispatcher, target, request, split,
                                          weights.version, now),
@@ -150,7 +150,8 @@
                                     prompt_split const& split,
                                     double read_tokens, mono_time now)
 {
-    auto const wanted_weights = dispatcher.weights.find(request.asked->model);
+    auto const wanted_weights =
+        dispatcher.weights.find(request.model_prompt->model);
     bool const is_settled =
         wanted_weights == dispatcher.weights.end() ||
         now - wanted_weights->second.since > dispatcher.limits.save_weights_age;
--- a/jujubestand/dispatch/standing.cpp
+++ b/jujubestand/dispatch/standing.cpp
@@ -9,7 +9,7 @@
                       mono_time now)
 {
     return target.load &&
-           now - target.load->at <= dispatcher.limits.report_age_limit;
+           now - target.load->reported_at <= dispatcher.limits.report_age_limit;
 }
 
 bool is_available(state const& dispatcher, upstream const& target,
--- a/jujubestand/dispatch/test/dispatch_test.cpp
+++ b/jujubestand/dispatch/test/dispatch_test.cpp
@@ -14,7 +14,7 @@
     {
         auto dispatcher = fleet(9);
         auto const result = submit(dispatcher, prompt_call(1, 77), at(10));
-        ASSERT_EQ(result.what, action::send);
+        ASSERT_EQ(result.next_action, action::send);
         used.insert(result.upstream);
     }
     EXPECT_EQ(used.size(), 1U);
@@ -53,7 +53,7 @@
     for (call_key key = 1; key <= 12; ++key)
     {
         auto const result = submit(dispatcher, prompt_call(key, 77), at(10));
-        if (result.what != action::send)
+        if (result.next_action != action::send)
             continue;
         // A second send to an engine finds the parts brought by the first.
         bool const is_first = used.insert(result.upstream).second;
@@ -118,12 +118,12 @@
     {
         auto load = idle_load(0);
         load.is_down = true;
-        on_load(dispatcher, engine(dispatcher, number).key, load);
+        on_load_report(dispatcher, engine(dispatcher, number).key, load);
     }
     for (call_key key = 1; key <= 30; ++key)
     {
         auto const result = submit(dispatcher, prompt_call(key, key), at(10));
-        if (result.what != action::send)
+        if (result.next_action != action::send)
             continue;
         EXPECT_NE(result.upstream, engine(dispatcher, 2).key);
         EXPECT_NE(result.upstream, engine(dispatcher, 5).key);
@@ -137,18 +137,19 @@
     on_wanted_weights(dispatcher, "m", 2, at(0));
     auto loading = idle_load(0);
     loading.is_preparing = true;
-    on_load(dispatcher, engine(dispatcher, 1).key, loading);
+    on_load_report(dispatcher, engine(dispatcher, 1).key, loading);
     auto loaded = idle_load(0);
     loaded.report.versions["m"] = 2;
-    on_load(dispatcher, engine(dispatcher, 2).key, loaded);
+    on_load_report(dispatcher, engine(dispatcher, 2).key, loaded);
     EXPECT_EQ(submit(dispatcher, prompt_call(1, 77), at(2'000)).upstream,
               engine(dispatcher, 2).key);
     // After `weights_lag`, calls begin only on the wanted weights.
     for (int number : {1, 2, 3})
-        engine(dispatcher, number).load->at = at(5'990);
+        engine(dispatcher, number).load->reported_at = at(5'990);
     engine(dispatcher, 2).avoid_until = at(7'000);
-    EXPECT_EQ(submit(dispatcher, prompt_call(2, 77, 6'000), at(6'000)).what,
-              action::hold);
+    EXPECT_EQ(
+        submit(dispatcher, prompt_call(2, 77, 6'000), at(6'000)).next_action,
+        action::hold);
 }
 
 // After a change of weights, engines still on the old weights prefilled shared
@@ -160,7 +161,7 @@
     auto loaded = idle_load(0);
     loaded.report.versions["m"] = 2;
     loaded.report.running = 40;
-    on_load(dispatcher, engine(dispatcher, 2).key, loaded);
+    on_load_report(dispatcher, engine(dispatcher, 2).key, loaded);
     for (std::uint64_t shared_part = 100; shared_part < 120; ++shared_part)
     {
         auto const request = prompt_call(shared_part, shared_part, 10);
@@ -177,12 +178,12 @@
     {
         auto load = idle_load(0);
         load.load_due_at = at(number == 1 ? 300 : 60'000);
-        on_load(dispatcher, engine(dispatcher, number).key, load);
+        on_load_report(dispatcher, engine(dispatcher, number).key, load);
     }
     for (call_key key = 1; key <= 6; ++key)
     {
         auto reply = prompt_call(key, key);
-        reply.asked->output_tokens_expected = 300;
+        reply.model_prompt->output_tokens_expected = 300;
         EXPECT_EQ(choose(dispatcher, reply, at(10))->upstream,
                   engine(dispatcher, 2).key);
     }
@@ -192,37 +193,37 @@
 {
     auto dispatcher = fleet(1);
     engine(dispatcher, 1).load->report.memory_used = engine_memory - 5'000;
-    EXPECT_EQ(submit(dispatcher, prompt_call(1, 77), at(10)).what,
+    EXPECT_EQ(submit(dispatcher, prompt_call(1, 77), at(10)).next_action,
               action::hold);
     engine(dispatcher, 1).load->report.memory_used = 0;
-    auto const result = review(dispatcher, at(20));
+    auto const result = decide_waiting(dispatcher, at(20));
     ASSERT_EQ(result.size(), 1U);
-    EXPECT_EQ(result[0].what, action::send);
+    EXPECT_EQ(result[0].next_action, action::send);
 }
 
 TEST(dispatch, an_idle_engine_takes_a_prompt_of_any_size)
 {
     auto dispatcher = fleet(1);
     auto large = prompt_call(1, 77);
-    large.asked->parts.back().tokens = engine_memory;
-    EXPECT_EQ(submit(dispatcher, large, at(10)).what, action::send);
+    large.model_prompt->parts.back().tokens = engine_memory;
+    EXPECT_EQ(submit(dispatcher, large, at(10)).next_action, action::send);
 }
 
 TEST(dispatch, queued_burst_is_sent_most_urgent_first)
 {
     auto dispatcher = fleet(1);
     call_key key = 1;
-    while (submit(dispatcher, prompt_call(key, key), at(10)).what ==
+    while (submit(dispatcher, prompt_call(key, key), at(10)).next_action ==
            action::send)
         ++key;
     ++key;
     auto urgent = prompt_call(key, key, 5);
     urgent.priority = 0;
-    ASSERT_EQ(submit(dispatcher, urgent, at(15)).what, action::hold);
+    ASSERT_EQ(submit(dispatcher, urgent, at(15)).next_action, action::hold);
     for (auto const sent : {call_key{1}, call_key{2}, call_key{3}})
         on_send_end(dispatcher, sent, send_outcome::served, at(20));
-    on_load(dispatcher, engine(dispatcher, 1).key, idle_load(25));
-    auto const result = review(dispatcher, at(30));
+    on_load_report(dispatcher, engine(dispatcher, 1).key, idle_load(25));
+    auto const result = decide_waiting(dispatcher, at(30));
     ASSERT_FALSE(result.empty());
     EXPECT_EQ(result[0].call, urgent.key);
 }
@@ -238,8 +239,9 @@
         for (call_key key = 1; key <= 20; ++key)
         {
             auto reply = prompt_call(key, key);
-            reply.asked->parts = {{1, 119}, {key, 79}, {key + 1'000, 628}};
-            if (submit(dispatcher, reply, at(10)).what == action::send)
+            reply.model_prompt->parts = {
+                {1, 119}, {key, 79}, {key + 1'000, 628}};
+            if (submit(dispatcher, reply, at(10)).next_action == action::send)
                 ++sent;
         }
         return sent;
@@ -253,7 +255,7 @@
     auto late = prompt_call(1, 77);
     late.deadline = at(20);
     auto const result = submit(dispatcher, late, at(10));
-    EXPECT_EQ(result.what, action::refuse);
+    EXPECT_EQ(result.next_action, action::refuse);
     EXPECT_EQ(result.why.code, reason_code::deadline_unreachable);
     EXPECT_GT(result.retry_after.count(), 0);
 }
@@ -263,8 +265,9 @@
     auto dispatcher = fleet(1);
     bool was_refused = false;
     for (call_key key = 1; key <= 200 && !was_refused; ++key)
-        was_refused = submit(dispatcher, prompt_call(key, key), at(10)).what ==
-                      action::refuse;
+        was_refused =
+            submit(dispatcher, prompt_call(key, key), at(10)).next_action ==
+            action::refuse;
     EXPECT_TRUE(was_refused);
     EXPECT_LT(dispatcher.waiting.size(), 100U);
 }
@@ -273,12 +276,12 @@
 {
     auto dispatcher = fleet(1);
     engine(dispatcher, 1).load->is_preparing = true;
-    ASSERT_EQ(submit(dispatcher, prompt_call(1, 77), at(10)).what,
+    ASSERT_EQ(submit(dispatcher, prompt_call(1, 77), at(10)).next_action,
               action::hold);
-    engine(dispatcher, 1).load->at = at(4'980);
-    auto const result = review(dispatcher, at(4'990));
+    engine(dispatcher, 1).load->reported_at = at(4'980);
+    auto const result = decide_waiting(dispatcher, at(4'990));
     ASSERT_EQ(result.size(), 1U);
-    EXPECT_EQ(result[0].what, action::refuse);
+    EXPECT_EQ(result[0].next_action, action::refuse);
     EXPECT_TRUE(dispatcher.waiting.empty());
 }
 
@@ -286,12 +289,12 @@
 {
     auto dispatcher = fleet(1);
     engine(dispatcher, 1).load->is_preparing = true;
-    ASSERT_EQ(submit(dispatcher, prompt_call(1, 77), at(10)).what,
+    ASSERT_EQ(submit(dispatcher, prompt_call(1, 77), at(10)).next_action,
               action::hold);
-    forget(dispatcher, 1);
+    remove_waiting(dispatcher, 1);
     EXPECT_TRUE(dispatcher.waiting.empty());
     engine(dispatcher, 1).load->is_preparing = false;
-    ASSERT_EQ(submit(dispatcher, prompt_call(2, 77), at(20)).what,
+    ASSERT_EQ(submit(dispatcher, prompt_call(2, 77), at(20)).next_action,
               action::send);
     on_send_end(dispatcher, 2, send_outcome::cancelled, at(30));
     EXPECT_TRUE(dispatcher.sends.empty());
@@ -308,7 +311,7 @@
         record.pool = "plain";
         record.slots = 6;
         record.versions.clear();
-        on_record(dispatcher, record);
+        on_upstream_record(dispatcher, record);
     }
     call request;
     request.pool = "plain";
--- a/jujubestand/dispatch/test/fleet.hpp
+++ b/jujubestand/dispatch/test/fleet.hpp
@@ -33,7 +33,7 @@
 inline engine_load idle_load(int ms)
 {
     engine_load load;
-    load.at = at(ms);
+    load.reported_at = at(ms);
     load.report.memory_total = engine_memory;
     load.report.versions["m"] = 1;
     return load;
@@ -44,8 +44,8 @@
     state dispatcher;
     for (int number = 1; number <= engines; ++number)
     {
-        on_record(dispatcher, engine_record(number));
-        on_load(dispatcher, dispatcher.last_key, idle_load(0));
+        on_upstream_record(dispatcher, engine_record(number));
+        on_load_report(dispatcher, dispatcher.last_key, idle_load(0));
     }
     return dispatcher;
 }
@@ -53,7 +53,7 @@
 inline upstream& engine(state& dispatcher, int number)
 {
     return dispatcher.upstreams.at(
-        dispatcher.by_id.at("e" + std::to_string(number)));
+        dispatcher.keys_by_id.at("e" + std::to_string(number)));
 }
 
 inline call prompt_call(call_key key, std::uint64_t shared_part, int ms = 0)
@@ -66,7 +66,7 @@
     request.arrived_at = at(ms);
     request.deadline = at(ms + 5'000);
     request.target_latency = std::chrono::milliseconds{600};
-    request.asked = traffic::prompt{
+    request.model_prompt = traffic::prompt{
         "m",
         {{1, 2'520}, {shared_part, 3'780}, {key + 1'000'000, 2'890}},
         9'190,
--- a/jujubestand/dispatch/test/upstreams_test.cpp
+++ b/jujubestand/dispatch/test/upstreams_test.cpp
@@ -34,13 +34,13 @@
     auto newer = engine_record(1);
     newer.id = "a-later-one";
     newer.born_ms = 2;
-    on_record(dispatcher, newer);
+    on_upstream_record(dispatcher, newer);
     EXPECT_TRUE(engine(dispatcher, 1).is_replaced);
     EXPECT_EQ(find_by_host(dispatcher, "10.0.0.1")->record.id, "a-later-one");
     auto stale = engine_record(1);
     stale.id = "an-old-one";
     stale.born_ms = 0;
-    on_record(dispatcher, stale);
+    on_upstream_record(dispatcher, stale);
     EXPECT_EQ(find_by_host(dispatcher, "10.0.0.1")->record.id, "a-later-one");
 }
 
@@ -57,12 +57,12 @@
     hold_parts(engine(dispatcher, 1), 77);
     auto leaving = engine_record(1);
     leaving.is_leaving = true;
-    on_record(dispatcher, leaving);
-    on_record(dispatcher, engine_record(1));
+    on_upstream_record(dispatcher, leaving);
+    on_upstream_record(dispatcher, engine_record(1));
     EXPECT_TRUE(engine(dispatcher, 1).record.is_leaving);
     auto restarted = engine_record(1);
     restarted.born_ms = 2;
-    on_record(dispatcher, restarted);
+    on_upstream_record(dispatcher, restarted);
     EXPECT_FALSE(engine(dispatcher, 1).record.is_leaving);
     EXPECT_TRUE(engine(dispatcher, 1).cache.parts.empty());
 }
@@ -72,7 +72,7 @@
     auto dispatcher = fleet(1);
     auto retried = prompt_call(1, 77);
     retried.tried.push_back(engine(dispatcher, 1).key);
-    EXPECT_EQ(submit(dispatcher, retried, at(10)).what, action::hold);
+    EXPECT_EQ(submit(dispatcher, retried, at(10)).next_action, action::hold);
 }
 
 // A stream that was moved off an engine before a load of weights and then had
@@ -85,7 +85,7 @@
         has_alternative(dispatcher, stream, engine(dispatcher, 1).key, at(10)));
     auto preparing = idle_load(0);
     preparing.is_preparing = true;
-    on_load(dispatcher, engine(dispatcher, 2).key, preparing);
+    on_load_report(dispatcher, engine(dispatcher, 2).key, preparing);
     EXPECT_FALSE(
         has_alternative(dispatcher, stream, engine(dispatcher, 1).key, at(10)));
 }
--- a/jujubestand/dispatch/types.hpp
+++ b/jujubestand/dispatch/types.hpp
@@ -31,9 +31,9 @@
 struct options
 {
     /// Prefill speed of an engine.
-    double reading_tokens_per_ms = 40;
+    double prefill_tokens_per_ms = 40;
     /// Limit of an engine's prefill backlog, as the time to work it off.
-    double reading_backlog_limit_ms = 220;
+    double prefill_backlog_limit_ms = 220;
     /// Cost of each running call, since it slows all steps of the engine.
     double running_cost_ms = 0.7;
     /// Time to fetch a cached token from another engine.
@@ -49,10 +49,10 @@
     double copy_cost_ms = 30;
     /// Cost of prefilling a shared token on another engine than the prompt's
     /// home, which will have to prefill it as well.
-    double reread_cost_ms_per_token = 0.03;
+    double repeated_prefill_cost_ms_per_token = 0.03;
     /// Cost of prefilling a shared token on weights that are about to be
     /// replaced: an engine has prefilled it before, and no later call uses it.
-    double old_reread_cost_ms_per_token = 0.06;
+    double old_weights_prefill_cost_ms_per_token = 0.06;
     /// Parts that this gateway sent to an engine count as cached for this long
     /// without confirmation by the agent.
     std::chrono::milliseconds expected_parts_limit{1'200};
@@ -89,7 +89,7 @@
 struct engine_load
 {
     status::engine_report report;
-    mono_time at{};
+    mono_time reported_at{};
     /// The agent can't reach the engine.
     bool is_down = false;
     /// The engine is about to load weights and would refuse new calls.
@@ -104,7 +104,7 @@
     call_key key = 0;
     std::string pool;
     /// Empty if the pool's upstreams are not model engines.
-    std::optional<traffic::prompt> asked;
+    std::optional<traffic::prompt> model_prompt;
     /// Owner of the cached parts: an isolated team, or all other teams.
     std::string cache_owner;
     /// 0 is the most urgent.
@@ -134,7 +134,7 @@
 struct decision
 {
     call_key call = 0;
-    action what = action::hold;
+    action next_action = action::hold;
     /// For `send`.
     upstream_key upstream = 0;
     /// For `send` to an engine: the weights that the call runs on.
@@ -177,12 +177,12 @@
 struct open_send
 {
     upstream_key upstream = 0;
-    mono_time at{};
+    mono_time sent_at{};
     /// Prompt tokens that the engine prefills before its first output.
-    double reading_tokens = 0;
+    double prefill_tokens = 0;
     /// Cache memory that the call occupies at the engine.
     double memory_tokens = 0;
-    bool is_reading = true;
+    bool is_prefilling = true;
 };
 
 /// \brief State of one upstream as seen by this process.
@@ -219,7 +219,7 @@
 };
 
 /// \brief Weights version that the operator requested for one model.
-struct wanted
+struct wanted_version
 {
     std::uint64_t version = 0;
     mono_time since{};
@@ -230,16 +230,16 @@
 {
     options limits;
     std::map<upstream_key, upstream> upstreams;
-    std::map<std::string, upstream_key, std::less<>> by_id;
+    std::map<std::string, upstream_key, std::less<>> keys_by_id;
     std::unordered_map<call_key, open_send> sends;
     std::map<call_key, call> waiting;
-    std::map<std::string, wanted> weights;
+    std::map<std::string, wanted_version> weights;
     std::vector<part_store> stores;
     upstream_key last_key = 0;
     /// Number of gateways that share the upstreams, including this one.
     std::uint32_t gateways = 1;
     /// Mean prompt size, used to estimate the work of other gateways.
-    double mean_reading_tokens = 2'000;
+    double mean_prefill_tokens = 2'000;
     std::string data_center;
 };
 
--- a/jujubestand/dispatch/upstreams.cpp
+++ b/jujubestand/dispatch/upstreams.cpp
@@ -93,15 +93,16 @@
 
 } // namespace
 
-bool on_record(state& dispatcher, traffic::upstream_record const& record)
+bool on_upstream_record(state& dispatcher,
+                        traffic::upstream_record const& record)
 {
-    auto const known = dispatcher.by_id.find(record.id);
-    bool const is_new = known == dispatcher.by_id.end();
+    auto const known = dispatcher.keys_by_id.find(record.id);
+    bool const is_new = known == dispatcher.keys_by_id.end();
     upstream_key const key = is_new ? ++dispatcher.last_key : known->second;
     upstream& target = dispatcher.upstreams[key];
     if (is_new)
     {
-        dispatcher.by_id[record.id] = key;
+        dispatcher.keys_by_id[record.id] = key;
         target.key = key;
         target.name_hash = placement::name_hash_of(to_text(record.where));
     }
@@ -128,13 +129,13 @@
     return is_new;
 }
 
-void on_removed(state& dispatcher, std::string const& id)
+void on_upstream_removed(state& dispatcher, std::string const& id)
 {
-    auto const known = dispatcher.by_id.find(id);
-    if (known == dispatcher.by_id.end())
+    auto const known = dispatcher.keys_by_id.find(id);
+    if (known == dispatcher.keys_by_id.end())
         return;
     dispatcher.upstreams.erase(known->second);
-    dispatcher.by_id.erase(known);
+    dispatcher.keys_by_id.erase(known);
 }
 
 void on_misdirected(state& dispatcher, upstream_key target_key)
@@ -144,8 +145,8 @@
         target->is_replaced = true;
 }
 
-void on_load(state& dispatcher, upstream_key target_key,
-             engine_load const& load)
+void on_load_report(state& dispatcher, upstream_key target_key,
+                    engine_load const& load)
 {
     upstream* const target = find(dispatcher, target_key);
     if (target == nullptr)
@@ -155,8 +156,8 @@
         raise_version(target->versions, model, version);
 }
 
-void on_cache(state& dispatcher, upstream_key target_key,
-              status::cache_delta const& delta)
+void on_cache_delta(state& dispatcher, upstream_key target_key,
+                    status::cache_delta const& delta)
 {
     upstream* const target = find(dispatcher, target_key);
     if (target != nullptr)
@@ -176,14 +177,14 @@
 {
     auto& known = dispatcher.weights[model];
     if (version > known.version)
-        known = wanted{version, since};
+        known = wanted_version{version, since};
 }
 
 void on_first_output(state& dispatcher, call_key call)
 {
     auto const found = dispatcher.sends.find(call);
     if (found != dispatcher.sends.end())
-        found->second.is_reading = false;
+        found->second.is_prefilling = false;
 }
 
 void on_send_end(state& dispatcher, call_key call, send_outcome outcome,
--- a/jujubestand/dispatch/upstreams.hpp
+++ b/jujubestand/dispatch/upstreams.hpp
@@ -9,22 +9,23 @@
 
 /// \brief Adds or updates an upstream from its registration record.
 /// \returns whether the upstream is new
-bool on_record(state& dispatcher, traffic::upstream_record const& record);
+bool on_upstream_record(state& dispatcher,
+                        traffic::upstream_record const& record);
 
 /// \brief Removes an upstream that is no longer registered.
-void on_removed(state& dispatcher, std::string const& id);
+void on_upstream_removed(state& dispatcher, std::string const& id);
 
 /// \brief Handles the refusal of a call by an upstream that it was not meant
 /// for.
 void on_misdirected(state& dispatcher, upstream_key target_key);
 
 /// \brief Stores the latest load report of an engine.
-void on_load(state& dispatcher, upstream_key target_key,
-             engine_load const& load);
+void on_load_report(state& dispatcher, upstream_key target_key,
+                    engine_load const& load);
 
 /// \brief Applies changes of an engine's cache.
-void on_cache(state& dispatcher, upstream_key target_key,
-              status::cache_delta const& delta);
+void on_cache_delta(state& dispatcher, upstream_key target_key,
+                    status::cache_delta const& delta);
 
 /// \brief Records the weights version that an answer was generated with.
 void on_weights_seen(state& dispatcher, upstream_key target_key,
--- a/jujubestand/entry/attempts.cpp
+++ b/jujubestand/entry/attempts.cpp
@@ -145,8 +145,8 @@
         this->note_failure(upstream);
     else
         this->note_success(upstream);
-    placement::take_refusal(this->placement_of(of), upstream, failed.leaving,
-                            mono_now());
+    placement::record_refusal(this->placement_of(of), upstream, failed.leaving,
+                              mono_now());
 }
 
 void entry::state::retry(call_id id, link::failure const& failed)
--- a/jujubestand/entry/entry.cpp
+++ b/jujubestand/entry/entry.cpp
@@ -136,7 +136,7 @@
                                       this->on_deadline(added);
                                   });
     placed.deadline_timer->start(placed.deadline - placed.arrived);
-    retries::take_request(this->budget, this->retry_options, placed.arrived);
+    retries::record_request(this->budget, this->retry_options, placed.arrived);
     this->try_next(added);
 }
 
--- a/jujubestand/entry/placing.cpp
+++ b/jujubestand/entry/placing.cpp
@@ -179,8 +179,8 @@
     {
         of.probes->replies.push_back(
             {asked.upstream, asked.sent_at, std::move(*reply)});
-        placement::take_reply(this->placement_of(of), of.probes->replies.back(),
-                              mono_now());
+        placement::record_reply(this->placement_of(of),
+                                of.probes->replies.back(), mono_now());
     }
     if (of.probes->open.empty())
         this->decide(id);
@@ -243,17 +243,17 @@
         this->answer_problem(id);
         return;
     }
-    placement::take_sent(placed, request, *chosen, now);
-    static_cast<void>(retries::try_pass(this->circuits[chosen->upstream],
-                                        this->circuit_options, now));
+    placement::record_sent(placed, request, *chosen, now);
+    static_cast<void>(retries::try_admit(this->circuits[chosen->upstream],
+                                         this->circuit_options, now));
     this->send(id, place->second);
 }
 
 void entry::state::note_failure(upstream_id const& upstream)
 {
     bool const is_opened =
-        retries::take_failure(this->circuits[upstream], this->circuit_options,
-                              mono_now(), this->shared->random());
+        retries::record_failure(this->circuits[upstream], this->circuit_options,
+                                mono_now(), this->shared->random());
     if (is_opened)
         process::note(*this->shared, event_number::circuit_opened, {}, {},
                       {{"upstream", upstream.text}});
@@ -264,7 +264,7 @@
     auto const found = this->circuits.find(upstream);
     if (found == this->circuits.end())
         return;
-    if (retries::take_success(found->second))
+    if (retries::record_success(found->second))
         process::note(*this->shared, event_number::circuit_closed, {}, {},
                       {{"upstream", upstream.text}});
 }
--- a/jujubestand/entry/relay.cpp
+++ b/jujubestand/entry/relay.cpp
@@ -227,9 +227,9 @@
     }
     this->note_success(of.current->upstream);
     if (last.prompt_tokens > 0)
-        placement::take_usage(this->placement_of(of), this->request_of(of),
-                              of.current->upstream, last.cached_tokens,
-                              mono_now());
+        placement::record_usage(this->placement_of(of), this->request_of(of),
+                                of.current->upstream, last.cached_tokens,
+                                mono_now());
     auto const took = mono_now() - of.arrived;
     this->counts.used(of.request.message.pool, last);
     this->counts.ended(of.request.message.pool, verdict::ran, true, took);
--- a/jujubestand/gateway/agents.cpp
+++ b/jujubestand/gateway/agents.cpp
@@ -16,7 +16,7 @@
 dispatch::engine_load to_load(status::answer const& from, mono_time now)
 {
     dispatch::engine_load load;
-    load.at = now - std::chrono::milliseconds{from.report_age_ms};
+    load.reported_at = now - std::chrono::milliseconds{from.report_age_ms};
     load.is_down = !from.is_engine_reachable;
     load.is_preparing = from.is_preparing;
     if (from.load_due_us >= 0)
@@ -60,7 +60,7 @@
 {
     std::map<std::string, std::uint32_t> pools;
     std::map<std::string, engine_place> hosts;
-    for (auto const& [id, key] : state.dispatch.by_id)
+    for (auto const& [id, key] : state.dispatch.keys_by_id)
     {
         auto const& known_upstream = state.dispatch.upstreams.at(key);
         auto const& host = known_upstream.record.where.host;
@@ -74,8 +74,8 @@
     }
     for (auto& [host, engine] : hosts)
     {
-        auto const& known_upstream =
-            state.dispatch.upstreams.at(state.dispatch.by_id.at(engine.id));
+        auto const& known_upstream = state.dispatch.upstreams.at(
+            state.dispatch.keys_by_id.at(engine.id));
         engine.engines = pools[known_upstream.record.pool];
     }
     return hosts;
@@ -125,11 +125,12 @@
     {
         bool const was_preparing =
             known_upstream->load && known_upstream->load->is_preparing;
-        dispatch::on_load(state.dispatch, known_upstream->key,
-                          to_load(*answer, now));
+        dispatch::on_load_report(state.dispatch, known_upstream->key,
+                                 to_load(*answer, now));
         if (answer->is_preparing && !was_preparing)
             migrate_streams(state, known_upstream->key);
-        dispatch::on_cache(state.dispatch, known_upstream->key, answer->cache);
+        dispatch::on_cache_delta(state.dispatch, known_upstream->key,
+                                 answer->cache);
     }
     if (!answer->gateways.empty())
     {
--- a/jujubestand/gateway/beliefs.cpp
+++ b/jujubestand/gateway/beliefs.cpp
@@ -108,7 +108,7 @@
 
 void remove_upstream(gateway_state& state, std::string const& id)
 {
-    dispatch::on_removed(state.dispatch, id);
+    dispatch::on_upstream_removed(state.dispatch, id);
     state.log->write(event_number::member_gone, {}, {{"upstream", id}});
 }
 
@@ -122,11 +122,11 @@
         return;
     }
     follow::on_present(state.lapses, row.key);
-    auto const known = state.dispatch.by_id.find(record->id);
+    auto const known = state.dispatch.keys_by_id.find(record->id);
     bool const was_leaving =
-        known != state.dispatch.by_id.end() &&
+        known != state.dispatch.keys_by_id.end() &&
         state.dispatch.upstreams.at(known->second).record.is_leaving;
-    bool const is_new = dispatch::on_record(state.dispatch, *record);
+    bool const is_new = dispatch::on_upstream_record(state.dispatch, *record);
     if (is_new)
         state.log->write(event_number::member_live, {},
                          {{"upstream", record->id},
--- a/jujubestand/gateway/calls.cpp
+++ b/jujubestand/gateway/calls.cpp
@@ -66,7 +66,7 @@
     terms.key = key;
     terms.pool = pool;
     if (call.route.has_prompts)
-        terms.asked = call.caller_request.asked;
+        terms.model_prompt = call.caller_request.asked;
     terms.cache_owner =
         call.team.is_isolated ? "team " + call.team.name : "all";
     terms.priority = call.team.priority.value_or(call.route.priority);
@@ -95,7 +95,7 @@
     if (since < stop_free_time)
         return true;
     auto const left = state.settings.limits.stop_grace - since;
-    return !call.dispatch_call.asked && left > plain_call_time;
+    return !call.dispatch_call.model_prompt && left > plain_call_time;
 }
 
 void accept_call(gateway_state& state, active_call call)
@@ -103,10 +103,11 @@
     auto const key = ++state.last_call_key;
     auto const pool = traffic::choose_pool(call.route, state.random_engine());
     call.dispatch_call = terms_of(call, key, pool);
-    retries::take_request(state.retry_budgets[call.dispatch_call.pool],
-                          retry_options_of(state), call.arrived_at);
-    retries::take_request(state.started_retry_budgets[call.dispatch_call.pool],
-                          started_retry_options_of(state), call.arrived_at);
+    retries::record_request(state.retry_budgets[call.dispatch_call.pool],
+                            retry_options_of(state), call.arrived_at);
+    retries::record_request(
+        state.started_retry_budgets[call.dispatch_call.pool],
+        started_retry_options_of(state), call.arrived_at);
     state.log->write(
         event_number::request_accepted, call.caller_request.request_id,
         {{"route", call.route.name},
@@ -199,7 +200,7 @@
     state.upstream_client->cancel(call.upstream_call);
     dispatch::on_send_end(state.dispatch, key,
                           dispatch::send_outcome::cancelled, mono_now());
-    dispatch::forget(state.dispatch, key);
+    dispatch::remove_waiting(state.dispatch, key);
     end_call(state, key);
 }
 
@@ -218,7 +219,7 @@
     if (state.dispatch.waiting.empty())
         return;
     for (auto const& dispatch_decision :
-         dispatch::review(state.dispatch, mono_now()))
+         dispatch::decide_waiting(state.dispatch, mono_now()))
         apply_decision(state, dispatch_decision);
     schedule_review(state);
 }
--- a/jujubestand/gateway/moves.cpp
+++ b/jujubestand/gateway/moves.cpp
@@ -14,7 +14,7 @@
 // Migrations leave half of the retry budget to failed attempts.
 bool can_afford_move(gateway_state& state, active_call const& call)
 {
-    return state.retry_budgets[call.dispatch_call.pool].saved >=
+    return state.retry_budgets[call.dispatch_call.pool].tokens >=
            retry_options_of(state).budget_limit / 2;
 }
 
--- a/jujubestand/gateway/sends.cpp
+++ b/jujubestand/gateway/sends.cpp
@@ -103,10 +103,10 @@
         return;
     auto answer = platform::read_answer(head);
     auto const send = state.dispatch.sends.find(key);
-    if (answer.weights && call->dispatch_call.asked &&
+    if (answer.weights && call->dispatch_call.model_prompt &&
         send != state.dispatch.sends.end())
         dispatch::on_weights_seen(state.dispatch, send->second.upstream,
-                                  call->dispatch_call.asked->model,
+                                  call->dispatch_call.model_prompt->model,
                                   *answer.weights);
     if (!answer.other_upstream.empty() &&
         answer.other_upstream != call->upstream)
@@ -321,7 +321,7 @@
     active_call* const call = find_call(state, dispatch_decision.call);
     if (call == nullptr)
         return;
-    if (dispatch_decision.what == dispatch::action::send)
+    if (dispatch_decision.next_action == dispatch::action::send)
     {
         if (state.caller_server->has_left(call->exchange))
             on_caller_disconnected(state, call->exchange);
@@ -329,7 +329,7 @@
             send(state, dispatch_decision);
         return;
     }
-    if (dispatch_decision.what == dispatch::action::hold)
+    if (dispatch_decision.next_action == dispatch::action::hold)
     {
         state.log->write(
             event_number::request_waits, call->caller_request.request_id,
--- a/jujubestand/gateway/test/repeats_test.cpp
+++ b/jujubestand/gateway/test/repeats_test.cpp
@@ -71,8 +71,8 @@
         call.deadline = mono_now() + std::chrono::seconds{60};
         call.dispatch_call.deadline = call.deadline;
         this->state.active_calls.emplace(key, call);
-        this->state.retry_budgets["engines"].saved = 0;
-        this->state.started_retry_budgets["engines"].saved = 0;
+        this->state.retry_budgets["engines"].tokens = 0;
+        this->state.started_retry_budgets["engines"].tokens = 0;
         suspend_call(this->state, key, dispatch::send_outcome::refused);
     }
 
@@ -94,7 +94,7 @@
 
 TEST_F(suspended_answer, goes_on_as_soon_as_the_budget_allows)
 {
-    this->state.retry_budgets["engines"].saved = 1;
+    this->state.retry_budgets["engines"].tokens = 1;
     review_suspended_calls(this->state);
     EXPECT_TRUE(this->state.active_calls.contains(key));
     EXPECT_TRUE(this->state.suspended_calls.empty());
@@ -124,7 +124,7 @@
         key;
     dispatch::decision dispatch_decision;
     dispatch_decision.call = key;
-    dispatch_decision.what = dispatch::action::send;
+    dispatch_decision.next_action = dispatch::action::send;
     apply_decision(this->state, dispatch_decision);
     EXPECT_FALSE(this->state.active_calls.contains(key));
     EXPECT_TRUE(this->state.call_by_exchange.empty());
--- a/jujubestand/placement/placement.cpp
+++ b/jujubestand/placement/placement.cpp
@@ -175,8 +175,8 @@
     return plan;
 }
 
-void take_reply(placement_state& state, probe_outcome const& outcome,
-                mono_time now)
+void record_reply(placement_state& state, probe_outcome const& outcome,
+                  mono_time now)
 {
     auto const found = state.index.find(outcome.upstream);
     if (found == state.index.end())
@@ -248,8 +248,8 @@
     return choose_unprobed(state, request, now, random_bits);
 }
 
-void take_sent(placement_state& state, placement_request const& request,
-               choice const& chosen, mono_time now)
+void record_sent(placement_state& state, placement_request const& request,
+                 choice const& chosen, mono_time now)
 {
     auto const found = state.index.find(chosen.upstream);
     if (found == state.index.end())
@@ -261,8 +261,8 @@
         record_placement(state, each.key, chosen.upstream, now);
 }
 
-void take_refusal(placement_state& state, upstream_id const& upstream,
-                  bool is_leaving, mono_time now)
+void record_refusal(placement_state& state, upstream_id const& upstream,
+                    bool is_leaving, mono_time now)
 {
     auto const found = state.index.find(upstream);
     if (found == state.index.end())
@@ -274,9 +274,9 @@
     view.recent_work.clear();
 }
 
-void take_usage(placement_state& state, placement_request const& request,
-                upstream_id const& upstream, std::uint32_t cached_tokens,
-                mono_time now)
+void record_usage(placement_state& state, placement_request const& request,
+                  upstream_id const& upstream, std::uint32_t cached_tokens,
+                  mono_time now)
 {
     if (!state.index.contains(upstream))
         return;
--- a/jujubestand/placement/placement.hpp
+++ b/jujubestand/placement/placement.hpp
@@ -199,8 +199,8 @@
 
 /// \brief Stores the reply to a probe unless one to a later probe is already
 /// stored.
-void take_reply(placement_state& state, probe_outcome const& outcome,
-                mono_time now);
+void record_reply(placement_state& state, probe_outcome const& outcome,
+                  mono_time now);
 
 /// \brief Cost of a request at the upstream that sent `reply`.
 /// \param reply its `cached_tokens` must refer to this request's prompt
@@ -219,18 +219,18 @@
        std::uint64_t random_bits);
 
 /// \brief Records that a request was sent to the chosen upstream.
-void take_sent(placement_state& state, placement_request const& request,
-               choice const& chosen, mono_time now);
+void record_sent(placement_state& state, placement_request const& request,
+                 choice const& chosen, mono_time now);
 
 /// \brief Records that an upstream refused or lost a request. Discards the work
 /// sent to it and, unless the upstream is leaving, its stored reply.
-void take_refusal(placement_state& state, upstream_id const& upstream,
-                  bool is_leaving, mono_time now);
+void record_refusal(placement_state& state, upstream_id const& upstream,
+                    bool is_leaving, mono_time now);
 
 /// \brief Records how many tokens of the prompt an answer reported as cached.
-void take_usage(placement_state& state, placement_request const& request,
-                upstream_id const& upstream, std::uint32_t cached_tokens,
-                mono_time now);
+void record_usage(placement_state& state, placement_request const& request,
+                  upstream_id const& upstream, std::uint32_t cached_tokens,
+                  mono_time now);
 
 } // namespace jujubestand::placement
 
--- a/jujubestand/placement/test/placement_test.cpp
+++ b/jujubestand/placement/test/placement_test.cpp
@@ -127,7 +127,7 @@
 {
     placement_state state = state_of(20);
     auto const request = request_of(5, 1);
-    take_sent(state, request, choice{upstream_of(13), {}, true}, start);
+    record_sent(state, request, choice{upstream_of(13), {}, true}, start);
     auto const plan = plan_probes(state, request_of(5, 2), start, 1);
     EXPECT_NE(
         std::find(plan.probes.begin(), plan.probes.end(), upstream_of(13)),
@@ -180,10 +180,10 @@
     auto const outcomes =
         std::vector{outcome_of(0, idle_reply()), outcome_of(1, idle_reply())};
     for (auto const& each : outcomes)
-        take_reply(state, each, start);
+        record_reply(state, each, start);
     auto const first = choose_of(state, request, outcomes);
     ASSERT_TRUE(first);
-    take_sent(state, request, *first, start);
+    record_sent(state, request, *first, start);
     EXPECT_NE(choose_of(state, request, outcomes)->upstream, first->upstream);
 }
 
@@ -202,7 +202,7 @@
     outcomes[3].reply.weights_version = "6";
     placement_state updated = state;
     for (auto const& each : outcomes)
-        take_reply(updated, each, start);
+        record_reply(updated, each, start);
     EXPECT_FALSE(choose_of(updated, request, outcomes).has_value());
     request.excluded.clear();
     EXPECT_EQ(choose_of(updated, request, outcomes)->upstream, upstream_of(4));
@@ -250,7 +250,7 @@
 TEST(placement, leaving_upstream_is_not_probed_after_a_refusal)
 {
     placement_state state = state_of(2);
-    take_refusal(state, upstream_of(0), true, start);
+    record_refusal(state, upstream_of(0), true, start);
     for (std::uint64_t prefix_number = 1; prefix_number < 30; ++prefix_number)
     {
         auto const plan = plan_probes(state, request_of(prefix_number, 1),
@@ -277,7 +277,7 @@
     auto state = state_of(1);
     auto reply = idle_reply();
     reply.ready = false;
-    take_reply(state, outcome_of(0, reply), start);
+    record_reply(state, outcome_of(0, reply), start);
     auto const request = request_of(1, 1);
     EXPECT_FALSE(choose(state, request, {}, start, 3));
     EXPECT_TRUE(choose(state, request, {}, start + 2s, 3));
@@ -288,7 +288,7 @@
     auto state = state_of(1);
     auto reply = idle_reply();
     reply.leaving = true;
-    take_reply(state, outcome_of(0, reply), start);
+    record_reply(state, outcome_of(0, reply), start);
     auto const request = request_of(1, 1);
     EXPECT_FALSE(choose(state, request, {}, start + 30s, 3));
     EXPECT_TRUE(choose(state, request, {}, start + 61s, 3));
--- a/jujubestand/retries/circuit.cpp
+++ b/jujubestand/retries/circuit.cpp
@@ -30,8 +30,8 @@
     return state.mode != circuit_mode::closed && now < state.until;
 }
 
-bool try_pass(circuit& state, circuit_options const& options,
-              mono_time now) noexcept
+bool try_admit(circuit& state, circuit_options const& options,
+               mono_time now) noexcept
 {
     if (state.mode == circuit_mode::closed)
         return true;
@@ -42,15 +42,15 @@
     return true;
 }
 
-bool take_success(circuit& state) noexcept
+bool record_success(circuit& state) noexcept
 {
     bool const was_closed = state.mode == circuit_mode::closed;
     state = circuit{};
     return !was_closed;
 }
 
-bool take_failure(circuit& state, circuit_options const& options, mono_time now,
-                  std::uint64_t random_bits) noexcept
+bool record_failure(circuit& state, circuit_options const& options,
+                    mono_time now, std::uint64_t random_bits) noexcept
 {
     ++state.failures;
     bool const is_trial = state.mode == circuit_mode::half_open;
--- a/jujubestand/retries/circuit.hpp
+++ b/jujubestand/retries/circuit.hpp
@@ -50,19 +50,19 @@
 /// \brief Admits a request before it is sent; after an open period, admits one
 /// trial request and half-opens the circuit.
 /// \returns false if the request must not be sent
-[[nodiscard]] bool try_pass(circuit& state, circuit_options const& options,
-                            mono_time now) noexcept;
+[[nodiscard]] bool try_admit(circuit& state, circuit_options const& options,
+                             mono_time now) noexcept;
 
 /// \brief Records that the upstream answered or refused a request.
 /// \returns whether this closed the circuit
-bool take_success(circuit& state) noexcept;
+bool record_success(circuit& state) noexcept;
 
 /// \brief Records that a request failed through a fault of the upstream or its
 /// link.
 /// \param random_bits source of the jitter
 /// \returns whether this opened the circuit
-bool take_failure(circuit& state, circuit_options const& options, mono_time now,
-                  std::uint64_t random_bits) noexcept;
+bool record_failure(circuit& state, circuit_options const& options,
+                    mono_time now, std::uint64_t random_bits) noexcept;
 
 } // namespace jujubestand::retries
 
--- a/jujubestand/retries/retry.cpp
+++ b/jujubestand/retries/retry.cpp
@@ -15,18 +15,18 @@
     if (budget.refilled_at != mono_time{} && now > budget.refilled_at)
     {
         std::chrono::duration<double> const since = now - budget.refilled_at;
-        budget.saved += options.budget_per_second * since.count();
+        budget.tokens += options.budget_per_second * since.count();
     }
     budget.refilled_at = std::max(budget.refilled_at, now);
-    budget.saved = std::min(budget.saved, options.budget_limit);
+    budget.tokens = std::min(budget.tokens, options.budget_limit);
 }
 
 bool spend(retry_budget& budget, retry_options const& options, mono_time now)
 {
     refill(budget, options, now);
-    if (budget.saved < 1.0)
+    if (budget.tokens < 1.0)
         return false;
-    budget.saved -= 1.0;
+    budget.tokens -= 1.0;
     return true;
 }
 
@@ -90,12 +90,12 @@
 
 } // namespace
 
-void take_request(retry_budget& budget, retry_options const& options,
-                  mono_time now)
+void record_request(retry_budget& budget, retry_options const& options,
+                    mono_time now)
 {
     refill(budget, options, now);
-    budget.saved =
-        std::min(budget.saved + options.budget_ratio, options.budget_limit);
+    budget.tokens =
+        std::min(budget.tokens + options.budget_ratio, options.budget_limit);
 }
 
 retry_decision decide(retry_budget& budget, retry_options const& options,
--- a/jujubestand/retries/retry.hpp
+++ b/jujubestand/retries/retry.hpp
@@ -34,7 +34,7 @@
 /// that a restarted entry can retry through a failure.
 struct retry_budget
 {
-    double saved = 20.0;
+    double tokens = 20.0;
     mono_time refilled_at;
 };
 
@@ -73,8 +73,8 @@
 };
 
 /// \brief Records a first attempt, which adds `budget_ratio` to the budget.
-void take_request(retry_budget& budget, retry_options const& options,
-                  mono_time now);
+void record_request(retry_budget& budget, retry_options const& options,
+                    mono_time now);
 
 /// \brief Decides whether to retry: the verdict alone determines whether a
 /// retry is safe; budget, attempts and deadline whether it is worthwhile.
--- a/jujubestand/retries/test/circuit_test.cpp
+++ b/jujubestand/retries/test/circuit_test.cpp
@@ -16,7 +16,7 @@
 {
     circuit state;
     for (std::uint32_t count = 0; count < options.failures_to_open; ++count)
-        take_failure(state, options, start, 0);
+        record_failure(state, options, start, 0);
     return state;
 }
 
@@ -25,32 +25,32 @@
 TEST(circuit, opens_after_failures_in_a_row)
 {
     circuit state;
-    EXPECT_FALSE(take_failure(state, options, start, 0));
-    EXPECT_FALSE(take_failure(state, options, start, 0));
-    take_success(state);
-    EXPECT_FALSE(take_failure(state, options, start, 0));
-    EXPECT_FALSE(take_failure(state, options, start, 0));
-    EXPECT_TRUE(take_failure(state, options, start, 0));
+    EXPECT_FALSE(record_failure(state, options, start, 0));
+    EXPECT_FALSE(record_failure(state, options, start, 0));
+    record_success(state);
+    EXPECT_FALSE(record_failure(state, options, start, 0));
+    EXPECT_FALSE(record_failure(state, options, start, 0));
+    EXPECT_TRUE(record_failure(state, options, start, 0));
     EXPECT_TRUE(is_open(state, start));
-    EXPECT_FALSE(try_pass(state, options, start));
+    EXPECT_FALSE(try_admit(state, options, start));
 }
 
 TEST(circuit, lets_one_trial_pass_after_the_pause)
 {
     circuit state = opened();
     mono_time const later = start + options.open_base;
-    EXPECT_TRUE(try_pass(state, options, later));
-    EXPECT_FALSE(try_pass(state, options, later));
-    EXPECT_TRUE(take_success(state));
-    EXPECT_TRUE(try_pass(state, options, later));
+    EXPECT_TRUE(try_admit(state, options, later));
+    EXPECT_FALSE(try_admit(state, options, later));
+    EXPECT_TRUE(record_success(state));
+    EXPECT_TRUE(try_admit(state, options, later));
 }
 
 TEST(circuit, failed_trial_doubles_the_pause)
 {
     circuit state = opened();
     mono_time const later = start + options.open_base;
-    ASSERT_TRUE(try_pass(state, options, later));
-    EXPECT_TRUE(take_failure(state, options, later, 0));
+    ASSERT_TRUE(try_admit(state, options, later));
+    EXPECT_TRUE(record_failure(state, options, later, 0));
     EXPECT_EQ(state.until, later + options.open_base);
     EXPECT_EQ(state.mode, circuit_mode::open);
 }
@@ -59,8 +59,8 @@
 {
     circuit state = opened();
     mono_time const later = start + options.open_base;
-    ASSERT_TRUE(try_pass(state, options, later));
-    EXPECT_TRUE(try_pass(state, options, later + options.trial_limit));
+    ASSERT_TRUE(try_admit(state, options, later));
+    EXPECT_TRUE(try_admit(state, options, later + options.trial_limit));
 }
 
 TEST(circuit, mode_names_round_trip)
--- a/jujubestand/retries/test/retry_test.cpp
+++ b/jujubestand/retries/test/retry_test.cpp
@@ -90,7 +90,7 @@
     std::uint32_t retried = 0;
     for (std::uint32_t request = 0; request < 10'000; ++request)
     {
-        take_request(budget, options, start);
+        record_request(budget, options, start);
         auto const decision =
             decide(budget, options, progress_of(verdict::not_run, true),
                    failure_of(verdict::not_run), start, request);
@@ -103,7 +103,7 @@
 TEST(retry, attempts_that_never_arrived_cost_no_budget)
 {
     retry_budget budget;
-    budget.saved = 0;
+    budget.tokens = 0;
     auto progress = progress_of(verdict::not_run, false);
     auto failure = failure_of(verdict::not_run);
     EXPECT_EQ(decide(budget, options, progress, failure, start, 0).why,
@@ -155,7 +155,7 @@
     EXPECT_FALSE(may_hedge(budget, options, progress, 400ms, 100ms, start));
     progress = progress_of(verdict::not_run, false);
     EXPECT_FALSE(may_hedge(budget, options, progress, 400ms, 100ms, start));
-    budget.saved = 0;
+    budget.tokens = 0;
     progress = progress_of(verdict::not_run, true);
     EXPECT_FALSE(may_hedge(budget, options, progress, 400ms, 100ms, start));
 }
--- a/jujubestand/sidecar/answers.cpp
+++ b/jujubestand/sidecar/answers.cpp
@@ -72,10 +72,10 @@
 {
     call const& of = *this->calls.find(id);
     mono_time const now = mono_now();
-    admission::take_progress(this->queue, now);
+    admission::record_progress(this->queue, now);
     if (of.answer.pieces > 0)
         return;
-    admission::take_first_token(this->queue, of.message.request, now);
+    admission::record_first_token(this->queue, of.message.request, now);
     this->pump();
 }
 
--- a/jujubestand/sidecar/engine_side.cpp
+++ b/jujubestand/sidecar/engine_side.cpp
@@ -27,8 +27,8 @@
     bool const is_new = take_report(this->engine, report, mono_now());
     prefix::set_engine(this->belief, report.incarnation,
                        report.weights_version);
-    admission::take_report(this->queue,
-                           {report.slots, report.prefill_us_per_token});
+    admission::apply_report(this->queue,
+                            {report.slots, report.prefill_us_per_token});
     if (is_new)
         process::note(
             *this->shared, event_number::engine_restarted, {}, {},
--- a/jujubestand/sidecar/intake.cpp
+++ b/jujubestand/sidecar/intake.cpp
@@ -200,7 +200,8 @@
 
 void sidecar::state::pump()
 {
-    admission::dispatch const step = admission::next(this->queue, mono_now());
+    admission::schedule_result const step =
+        admission::schedule(this->queue, mono_now());
     for (auto const& dropped : step.dropped)
         this->refuse_dropped(dropped);
     for (auto const& request : step.started)
@@ -285,7 +286,7 @@
     if (found->stage == call_stage::running)
     {
         mono_time const now = mono_now();
-        admission::take_finish(this->queue, found->message.request, now);
+        admission::record_finish(this->queue, found->message.request, now);
         prefix::take_failure(this->belief, found->message.request, now);
         this->by_exchange.erase(key_of(found->exchange));
         // Closing the connection cancels at the upstream.
