--- a/jujubestand/agent/agent.cpp
+++ b/jujubestand/agent/agent.cpp
@@ -17,8 +17,8 @@
 {
 
 constexpr std::chrono::milliseconds report_interval{60};
-/// Kept of the time for new weights when a load waits for long calls: what
-/// still runs then has to end, and the load itself.
+/// Part of the time limit for new weights that remains after the wait for
+/// long calls, for ending the calls still running and for the load itself.
 constexpr std::chrono::milliseconds load_reserve{2'600};
 constexpr std::chrono::milliseconds long_run_limit_min{1'000};
 constexpr int ok = 200;
@@ -100,7 +100,7 @@
     if (!self.settings.upstream)
     {
         log.write(event_number::settings_refused, {},
-                  {{"why", "no upstream beside this agent"}});
+                  {{"why", "agent settings name no upstream"}});
         return process::exit_code::bad_settings;
     }
     self.weights.limits.long_run_limit = std::max(
--- a/jujubestand/agent/agent.hpp
+++ b/jujubestand/agent/agent.hpp
@@ -7,9 +7,9 @@
 namespace jujubestand::agent
 {
 
-/// \brief Runs an agent beside a model engine until SIGTERM: it tells
-/// gateways how the engine is, and gives the engine its orders. No call goes
-/// through it.
+/// \brief Runs the agent of one model engine until SIGTERM: reports the
+/// engine's state to gateways and sends weight load orders to the engine.
+/// The agent is not on the path of calls.
 [[nodiscard]] process::exit_code run(node::settings settings);
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/answers.cpp
+++ b/jujubestand/agent/answers.cpp
@@ -9,8 +9,11 @@
 namespace
 {
 
-/// A gateway whose knowledge is older than this asks for a newer proof.
+/// A gateway whose copy of the operator's topic was last confirmed longer ago
+/// than this needs a newer confirmation.
 constexpr std::chrono::milliseconds proof_age_limit{2'500};
+/// The agent reads the topic for such a gateway only if its own copy was
+/// confirmed longer ago than this.
 constexpr std::chrono::milliseconds own_proof_age_limit{800};
 
 std::int64_t to_ms(microseconds span)
@@ -50,7 +53,8 @@
     return answer;
 }
 
-// Gateways read the store and tell what concerns the engine.
+// Applies what the request says about the engine; gateways read it from the
+// store.
 void take_news(agent_state& self, status::question const& asked, mono_time now)
 {
     for (auto const& [model, version] : asked.wanted)
@@ -60,7 +64,8 @@
     self.weights.engines = std::max(1U, asked.engines);
 }
 
-// A gateway that lacks a recent proof, for whatever reason, makes us read.
+// Reads the operator's topic if neither the gateway's nor the agent's copy was
+// confirmed recently.
 void refresh_for(agent_state& self, status::question const& asked,
                  mono_time now)
 {
@@ -76,7 +81,7 @@
 
 } // namespace
 
-// News that can't wait for the next question: whether to send at all.
+// Gateways must learn of such a change before their next status request.
 void tell_gateways(agent_state& self)
 {
     auto const now = mono_now();
--- a/jujubestand/agent/answers.hpp
+++ b/jujubestand/agent/answers.hpp
@@ -4,15 +4,15 @@
 #include <jujubestand/agent/state.hpp>
 #include <string_view>
 
-/// \brief What the agent tells gateways.
+/// \brief Status messages from the agent to gateways.
 namespace jujubestand::agent
 {
 
-/// \brief Tells gateways at once if the engine can be used from now on, or
-/// not any more.
+/// \brief Pushes a status message to all known gateways if the engine became
+/// usable or unusable since the last call.
 void tell_gateways(agent_state& self);
 
-/// \brief A gateway asks for the status.
+/// \brief Handles a status request from a gateway.
 void on_question(agent_state& self, address const& from,
                  std::string_view bytes);
 
--- a/jujubestand/agent/askers.hpp
+++ b/jujubestand/agent/askers.hpp
@@ -8,31 +8,32 @@
 #include <string>
 #include <vector>
 
-/// \brief The gateways that ask an agent, as it tells them to each other.
+/// \brief Gateways that poll an agent. The agent lists them in its status
+/// messages, so that gateways find each other.
 namespace jujubestand::agent
 {
 
-/// \brief A gateway that asks for our status.
+/// \brief A gateway that polls the agent's status.
 struct known_gateway
 {
     address where;
-    /// Width of its link, in Mbit/s.
+    /// Bandwidth of its link, in Mbit/s.
     double link_mbps = 0;
     mono_time asked_at{};
 };
 
-/// \brief Gateways that asked lately, by name.
+/// \brief Gateways with a recent status request, by name.
 using askers = std::map<std::string, known_gateway>;
 
-/// \brief Forgets gateways that have not asked for long.
+/// \brief Removes gateways without a recent status request.
 void forget_silent(askers& all, mono_time now);
 
-/// \brief IP numbers of the gateways, those with the widest links first:
+/// \brief IP addresses of the gateways, those with the most bandwidth first:
 /// these read the store for the others.
 [[nodiscard]] std::vector<std::string> hosts_by_width(askers const& all);
 
-/// \brief The same, or nothing for an asker that knows this list.
-/// \param known_hash `status::hash_of` of the list that the asker knows
+/// \brief The same list, or an empty one if the gateway already has it.
+/// \param known_hash `status::hash_of` of the list that the gateway has
 [[nodiscard]] std::vector<std::string>
 hosts_unless_known(askers const& all, std::uint64_t known_hash);
 
--- a/jujubestand/agent/engine.cpp
+++ b/jujubestand/agent/engine.cpp
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds cache_pause{20};
 constexpr std::chrono::milliseconds cache_retry_pause{250};
 
-/// Failed reports in a row after which the engine counts as unreachable.
+/// Consecutive failed reports after which the engine counts as unreachable.
 constexpr unsigned report_failures_limit = 2;
 
 void set_reachable(agent_state& self, bool is_reachable, reason const& why)
--- a/jujubestand/agent/engine.hpp
+++ b/jujubestand/agent/engine.hpp
@@ -3,14 +3,15 @@
 
 #include <jujubestand/agent/state.hpp>
 
-/// \brief What the agent learns from its engine.
+/// \brief Polls the engine for its report and its cache events.
 namespace jujubestand::agent
 {
 
-/// \brief Asks the engine for its report, unless a question is open.
+/// \brief Requests the engine's report, unless a request is in flight.
 void ask_report(agent_state& self);
 
-/// \brief Asks the engine for changes of its cache, and goes on doing so.
+/// \brief Starts polling the engine for changes of its cache; each response
+/// schedules the next request.
 void ask_cache_events(agent_state& self);
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/rollout.cpp
+++ b/jujubestand/agent/rollout.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// After an answer that says that nothing was begun.
+/// Delay before the next order after a response that means that no load
+/// started.
 constexpr std::chrono::milliseconds refused_pause{250};
 
 std::uint64_t version_of(status::engine_report const& report,
@@ -25,7 +26,8 @@
                     state.engines / state.limits.engines_per_load);
 }
 
-// Engines load in turns, so that most of them serve at any time.
+// The engines of a pool load in groups, so that most of them serve at any
+// time.
 std::size_t turn_of(rollout const& state)
 {
     return state.place / loads_at_once(state);
@@ -46,8 +48,8 @@
                        });
 }
 
-// Long calls get time to end before the engine stops taking calls; those that
-// are left then move away, if they may.
+// Long calls get time to end before the engine stops accepting calls; those
+// that still run then are moved to another engine where allowed.
 bool is_waiting_for_long_runs(rollout const& state, wanted_version const& want,
                               mono_time now)
 {
@@ -55,7 +57,7 @@
            now < want.since.value_or(now) + state.limits.long_run_limit;
 }
 
-// Calls that came before the notice have not begun to run yet.
+// Calls that were sent before the notice may still be queued or in prefill.
 bool is_settling(rollout const& state, wanted_version const& want,
                  status::engine_report const& report, mono_time now)
 {
@@ -72,7 +74,7 @@
     if (version <= known.version)
         return false;
     known.version = version;
-    // A turn that is pending serves the newer version as well.
+    // A load that is already planned loads the newer version instead.
     if (!known.since)
     {
         known.since = now;
--- a/jujubestand/agent/rollout.hpp
+++ b/jujubestand/agent/rollout.hpp
@@ -15,82 +15,84 @@
 namespace jujubestand::agent
 {
 
-/// \brief Limits of a rollout of weights.
+/// \brief Limits and timings of a weight rollout.
 struct rollout_options
 {
-    /// Engines of a pool that load at once are this part of it.
+    /// One engine in this many of a pool may load at the same time.
     std::size_t engines_per_load = 5;
+    /// Lower bound of the engines that may load at the same time.
     std::size_t loads_at_once_min = 2;
-    /// Time after which the next engines begin to load.
+    /// Interval between the load starts of consecutive groups of engines.
     std::chrono::milliseconds turn{420};
-    /// Gateways stop sending this long before the order is given.
+    /// Gateways stop sending calls this long before the order is sent.
     std::chrono::milliseconds notice{120};
-    /// A call that runs for longer is a long one: a load waits for its end
-    /// while short calls go on coming.
+    /// A call that runs for longer than this is a long call: a load waits for
+    /// its end, and gateways keep sending calls in the meantime.
     std::chrono::milliseconds long_run{600};
-    /// Long calls hold a load up no longer than this after the weights were
-    /// named.
+    /// A load stops waiting for long calls this long after the operator
+    /// requested the version.
     std::chrono::milliseconds long_run_limit{2'600};
-    /// Calls that wait or are read when an order comes are refused by the
-    /// engine; the order is held back for them, but not longer than this.
+    /// The engine rejects calls that are queued or in prefill when an order
+    /// arrives; the order is delayed for them by at most this long.
     std::chrono::milliseconds settle_limit{450};
-    /// An order without an effect is given again after this.
+    /// An order without a visible effect is sent again after this time.
     std::chrono::milliseconds order_patience{700};
 };
 
-/// \brief Weights that the operator wants of one model.
+/// \brief Version of one model's weights that the operator requests.
 struct wanted_version
 {
     std::uint64_t version = 0;
-    /// When the oldest version was named that the engine lacks; nothing once
-    /// it has the newest one.
+    /// When the oldest version that the engine lacks was requested; empty
+    /// once the engine has the newest one.
     std::optional<mono_time> since;
-    /// It is known that the version was named at `since` and not earlier.
+    /// False if the version may have been requested before `since`.
     bool is_age_known = true;
-    /// Gateways were told to send nothing new, and when.
+    /// Gateways have been told to stop sending calls.
     bool is_begun = false;
     mono_time begun_at{};
 };
 
-/// \brief An agent's part in bringing new weights to its engine.
+/// \brief State of the weight rollout on one engine.
 struct rollout
 {
     rollout_options limits;
-    /// Number that makes orders of an earlier life of this agent void;
-    /// nothing until the store has given one.
+    /// Fencing token: invalidates the orders of earlier runs of this agent;
+    /// empty until the store has assigned one.
     std::optional<std::uint64_t> fence;
     std::map<std::string, wanted_version> wanted;
-    /// Place of the engine among those of its pool, and their number.
+    /// Index of the engine in its pool.
     std::size_t place = 0;
+    /// Engines in the pool.
     std::size_t engines = 1;
-    /// When the last order went out, until its effect is seen.
+    /// When the last order was sent; reset once its effect is visible.
     std::optional<mono_time> ordered_at;
-    /// Running calls of the engine, and since when they are seen.
+    /// Running calls of the engine, by id, and when each was first reported.
     std::map<std::uint64_t, mono_time> runs;
     std::uint64_t ordered_version = 0;
 };
 
-/// \brief One order to the engine.
+/// \brief Order to the engine to load a version.
 struct order
 {
     std::string model;
     std::uint64_t version = 0;
     std::uint64_t fence = 0;
-    /// Orders that the engine has accepted before.
+    /// Number of orders that the engine had accepted before this one.
     std::uint64_t orders_accepted = 0;
 };
 
-/// \brief How an engine answered an order.
+/// \brief The engine's response to an order.
 enum class order_answer : std::uint8_t
 {
-    accepted,  ///< it is being carried out, or already holds
-    conflict,  ///< another order came between
-    old_fence, ///< a higher fencing number was seen
-    refused,   ///< it can't be carried out
-    none,      ///< unknown: it may be carried out later
+    accepted,  ///< in progress, or the version is already loaded
+    conflict,  ///< the engine accepted another order in between
+    old_fence, ///< the engine has seen a higher fencing token
+    refused,   ///< the engine can't carry out the order
+    none,      ///< no response: the order may still be carried out
 };
 
-/// \brief Names of the answers.
+/// \brief Names of the responses.
 inline constexpr std::array<enum_name<order_answer>, 5> order_answer_names{{
     {order_answer::accepted, "accepted"},
     {order_answer::conflict, "conflict"},
@@ -99,34 +101,35 @@
     {order_answer::none, "none"},
 }};
 
-/// \brief The operator wants other weights; older wishes are forgotten.
-/// \param is_age_known false where the wish may be older than this process
-/// \returns whether it is news
+/// \brief Records the version that the operator requests; a version that is
+/// not newer than the recorded one is ignored.
+/// \param is_age_known false if the request may be older than this process
+/// \returns whether the version is newer than the recorded one
 bool on_wanted(rollout& state, std::string const& model, std::uint64_t version,
                mono_time now, bool is_age_known = true);
 
-/// \brief Takes in what runs at the engine.
+/// \brief Updates the running calls of the engine.
 void on_runs(rollout& state, std::vector<std::uint64_t> const& running,
              mono_time now);
 
-/// \brief Time until the engine is to load weights, 0 if that is due or
-/// going on; nothing if no load is known to come.
+/// \brief Time until the engine is to load weights; 0 if the load is due or in
+/// progress, empty if none is planned.
 [[nodiscard]] std::optional<microseconds>
 load_due(rollout const& state, status::engine_report const& report,
          mono_time now);
 
-/// \brief Whether gateways should send nothing new: a load is due soon, or
-/// is going on.
+/// \brief Whether gateways should stop sending calls because a load is
+/// imminent or in progress.
 [[nodiscard]] bool is_preparing(rollout const& state,
                                 status::engine_report const& report,
                                 mono_time now);
 
-/// \brief The order that is due now, if there is one; it counts as given.
-/// \param report a report that is fresh
+/// \brief Returns the order that is due now, if any, and records it as sent.
+/// \param report the engine's latest report, just received
 [[nodiscard]] std::optional<order>
 next_order(rollout& state, status::engine_report const& report, mono_time now);
 
-/// \brief How the engine answered the last order.
+/// \brief Handles the engine's response to the last order.
 void on_order_answer(rollout& state, order_answer answer, mono_time now);
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/state.hpp
+++ b/jujubestand/agent/state.hpp
@@ -16,7 +16,7 @@
 namespace jujubestand::agent
 {
 
-/// \brief One agent process.
+/// \brief State of an agent process.
 struct agent_state
 {
     event_base* base = nullptr;
@@ -41,7 +41,7 @@
     std::optional<loop::timer> cache_timer;
     askers gateways;
     std::optional<mono_time> first_asked_at;
-    /// What gateways were told last of whether to send.
+    /// Whether the engine was usable when gateways were last notified.
     bool was_usable = false;
 };
 
--- a/jujubestand/agent/test/askers_test.cpp
+++ b/jujubestand/agent/test/askers_test.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-// The first two read for all the others. On a link of 10 Mbit/s their answers
-// took the place of the callers' requests.
+// The first two gateways of the list read the store for all others. On a link
+// of 10 Mbit/s this traffic displaced the callers' requests.
 TEST(askers, gateways_with_wide_links_come_first)
 {
     askers const all = {{"a", gateway("10.0.0.1", 10, 0)},
--- a/jujubestand/agent/test/rollout_test.cpp
+++ b/jujubestand/agent/test/rollout_test.cpp
@@ -29,7 +29,8 @@
     return state;
 }
 
-/// First moment from `from` on, in steps of 10 ms, at which an order is due.
+/// First time in ms from `from` on, in steps of 10 ms, at which an order is
+/// due; -1 if there is none within 20 s.
 int first_order(rollout& state, status::engine_report const& report, int from)
 {
     for (int ms = from; ms < from + 20'000; ms += 10)
@@ -119,8 +120,8 @@
     EXPECT_LE(when, 1'000 + state.limits.long_run_limit.count() + 500);
 }
 
-// hunt-0742-19 of Quintela: agents that had been restarted waited for long
-// calls as if the weights had been named then.
+// hunt-0742-19: a restarted agent took its start for the time of the request
+// and waited for long calls again.
 TEST(rollout, a_wish_of_unknown_age_is_not_held_back)
 {
     auto state = ready(0, 9);
--- a/jujubestand/agent/weights.cpp
+++ b/jujubestand/agent/weights.cpp
@@ -11,8 +11,8 @@
 {
 
 constexpr std::chrono::milliseconds order_timeout{1'000};
-/// What is heard of weights in the first time of this process may have been
-/// named long before.
+/// A version first seen within this time after the first status request may
+/// have been requested long before this process started.
 constexpr std::chrono::milliseconds settled_after{3'000};
 constexpr std::chrono::milliseconds fence_retry_pause{400};
 
@@ -54,8 +54,8 @@
 
 } // namespace
 
-// The fence is the offset of a record that this life of the agent appended:
-// every later life gets a higher one.
+// The fencing token is derived from the offset of a record that this run of
+// the agent appends, so every later run gets a higher one.
 void take_fence(agent_state& self)
 {
     self.store->append(fence_topic, self.settings.name,
--- a/jujubestand/agent/weights.hpp
+++ b/jujubestand/agent/weights.hpp
@@ -5,18 +5,18 @@
 #include <string>
 #include <vector>
 
-/// \brief Which weights the engine is to load, and the orders to do so.
+/// \brief Requested versions of weights, and load orders to the engine.
 namespace jujubestand::agent
 {
 
-/// \brief Gets the number that this agent's orders bear, from the store.
+/// \brief Acquires the fencing token for this agent's orders from the store.
 void take_fence(agent_state& self);
 
-/// \brief Somebody told which weights are wanted.
+/// \brief Handles a requested version, from a gateway or from the store.
 void take_wanted(agent_state& self, std::string const& model,
                  std::uint64_t version, mono_time now);
 
-/// \brief Records of the operator changed.
+/// \brief Applies changed records of the operator's topic.
 void apply_records(agent_state& self, std::vector<follow::record> const& rows);
 
 /// \brief Orders the engine to load weights.
