--- a/jujubestand/follow/follower.cpp
+++ b/jujubestand/follow/follower.cpp
@@ -27,8 +27,8 @@
     mono_time asked_at{};
     mono_time refreshed_at{};
     http1::call_id call;
-    /// Records were deleted unread; what peers tell is no remedy, since they
-    /// may lack them too.
+    /// The store deleted records before they were read. Records from peers
+    /// don't replace a list, since peers may lack the same records.
     bool needs_list = false;
     bool is_active = false;
     bool is_reading = false;
@@ -92,8 +92,8 @@
                                  });
 }
 
-// Parts of a list are no snapshot: the end of the first part is where
-// reading goes on, so that nothing written meanwhile is missed.
+// The parts of a list are not one snapshot. Reading resumes at the end offset
+// of the first part, so that records written in the meantime are not missed.
 void follower::state::on_listed(platform::listing_end const& end)
 {
     if (!end.part)
--- a/jujubestand/follow/follower.hpp
+++ b/jujubestand/follow/follower.hpp
@@ -19,28 +19,31 @@
 namespace jujubestand::follow
 {
 
-/// \brief How a topic is read.
+/// \brief Topic of a follower, and timing of its reads.
 struct reading
 {
     std::string topic;
-    /// How long the store may wait for a record; 0: it answers at once.
+    /// Long-poll time: how long the store may wait for a record before it
+    /// responds; 0: it responds at once.
     std::chrono::milliseconds wait{0};
-    /// Pause between two reads.
+    /// Delay between two reads.
     std::chrono::milliseconds pause{0};
 };
 
-/// \brief What a follower tells its owner, from the loop.
+/// \brief Callbacks of a follower, called from the event loop.
 struct follower_events
 {
     std::function<void(std::vector<record> const&)> on_changes;
     std::function<void(reason const&)> on_unreachable;
     std::function<void()> on_reachable;
-    /// Records were deleted unread; a list follows.
+    /// The store deleted records before they were read; the follower lists
+    /// the topic again.
     std::function<void(reason const&)> on_expired;
 };
 
-/// \brief Keeps up with one keyed topic of the platform's store: lists it
-/// once, then reads on; lists it again when records were deleted unread.
+/// \brief Maintains a copy of one keyed topic of the platform's store: lists
+/// the topic once, then reads new records; lists it again if the store deleted
+/// records before they were read.
 class follower
 {
 public:
@@ -52,19 +55,21 @@
     follower(follower&&) = delete;
     follower& operator=(follower&&) = delete;
 
-    /// \brief Whether it reads by itself; off at first.
+    /// \brief Turns periodic reads on or off; off by default.
     void set_active(bool is_active);
 
-    /// \brief Reads at once, on a new connection if one is under way: it may
-    /// have gone silent. Does nothing soon after the last time.
+    /// \brief Reads at once. A read in flight is cancelled, since its
+    /// connection may be dead, and replaced by one on a new connection. Calls
+    /// in quick succession have no effect.
     void refresh();
 
     [[nodiscard]] topic const& known() const noexcept;
 
-    /// \brief Takes in what another process knows; see `follow::on_shared`.
+    /// \brief Applies records from another process; see `follow::on_shared`.
     void take(listing const& from, std::uint64_t since, mono_time proven_at);
 
-    /// \brief See `follow::on_vouched`.
+    /// \brief Applies a confirmation from another process; see
+    /// `follow::on_vouched`.
     void vouch(std::uint64_t end, mono_time proven_at);
 
 private:
--- a/jujubestand/follow/lapses.hpp
+++ b/jujubestand/follow/lapses.hpp
@@ -14,39 +14,42 @@
 /// \brief Limits of `lapses`.
 struct lapse_options
 {
-    /// Records only lapse by themselves in an outage longer than this.
+    /// Records can expire because of an outage only if it lasts longer than
+    /// this.
     std::chrono::milliseconds outage_min{1'500};
-    /// Owners that live write their records again this soon after it.
+    /// Time after an outage within which live owners write their records
+    /// again.
     std::chrono::milliseconds return_time{2'100};
 };
 
-/// \brief Records that vanished while the store was away: their owners may
-/// live and could not renew them.
+/// \brief Records that expired during an outage of the store: their owners may
+/// be alive, but could not renew them.
 struct lapses
 {
     lapse_options limits;
     std::set<std::string> vanished;
-    /// Last moment at which the store answered.
+    /// Time of the store's last response.
     std::optional<mono_time> answered_at;
-    /// Last moment at which it was known to be away for long.
+    /// Latest time at which an outage longer than `outage_min` was seen.
     std::optional<mono_time> away_at;
 };
 
-/// \brief The store answered.
+/// \brief Handles a response of the store.
 void on_store_answer(lapses& state, mono_time now);
 
-/// \brief A read of the store failed.
+/// \brief Handles a failed read of the store.
 void on_store_failure(lapses& state, mono_time now);
 
-/// \brief A record vanished.
-/// \returns whether its owner is gone; if not, it may come back
+/// \brief Handles the removal of a record.
+/// \returns whether its owner is gone; if false, the record may come back
 [[nodiscard]] bool on_vanished(lapses& state, std::string const& key,
                                mono_time now);
 
-/// \brief A record is there.
+/// \brief Handles a record that is present.
 void on_present(lapses& state, std::string const& key);
 
-/// \brief Owners that did not come back in time and are gone.
+/// \brief Returns, and stops tracking, the keys of the records that did not
+/// come back in time; their owners are gone.
 [[nodiscard]] std::vector<std::string> take_gone(lapses& state, mono_time now);
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/test/follower_test.cpp
+++ b/jujubestand/follow/test/follower_test.cpp
@@ -29,9 +29,9 @@
 
 } // namespace
 
-// Seen on days on which the store deletes records: peers that lacked them too
-// handed over what they had, which was taken for a list, and reading failed
-// again for ever.
+// If the store deletes unread records, peers may lack them too. Records handed
+// over by such peers were taken for a complete list, so the next read failed
+// again, for ever.
 TEST(follower, deleted_records_lead_to_a_list_whatever_peers_tell)
 {
     std::unique_ptr<event_base, decltype(&event_base_free)> const base(
--- a/jujubestand/follow/test/topic_test.cpp
+++ b/jujubestand/follow/test/topic_test.cpp
@@ -32,8 +32,8 @@
     EXPECT_EQ(live_keys(state), 1U);
 }
 
-// Seen on days on which the store deletes records: gateways that did not list
-// themselves never heard of the removal.
+// If the store deletes records, removals show only in a list. Gateways that
+// don't list the topic themselves missed them.
 TEST(topic, a_removal_found_by_a_list_reaches_others)
 {
     auto reader = listed();
--- a/jujubestand/follow/topic.cpp
+++ b/jujubestand/follow/topic.cpp
@@ -23,7 +23,8 @@
     state.proven_at = state.proven_at ? std::max(*state.proven_at, at) : at;
 }
 
-// Keys that the list lacks and that were not written after it was made.
+// Removes the keys that are not in the list and were not written after it was
+// created.
 std::vector<record> remove_unlisted(topic& state, listing const& from)
 {
     std::set<std::string> listed;
@@ -35,8 +36,8 @@
         if (known.value.empty() || known.offset >= from.end ||
             listed.contains(key))
             continue;
-        // As new as the list, so that processes that ask for changes since an
-        // earlier offset hear of it.
+        // The removal gets the last offset of the list, so that
+        // `changes_since` an earlier offset includes it.
         known.value.clear();
         known.offset = from.end - 1;
         removed.push_back(known);
@@ -77,7 +78,8 @@
             changes.push_back(row);
         state.next = std::max(state.next, row.offset + 1);
     }
-    // A page may end before the topic does; only the last one proves.
+    // A page may end before the topic does; only the last page confirms that
+    // the copy is current.
     if (state.next >= page.end)
         prove(state, asked_at);
     return changes;
--- a/jujubestand/follow/topic.hpp
+++ b/jujubestand/follow/topic.hpp
@@ -12,7 +12,7 @@
 namespace jujubestand::follow
 {
 
-/// \brief The newest record of a key; an empty value removes the key.
+/// \brief Newest record of a key; an empty value marks the key as removed.
 struct record
 {
     std::string key;
@@ -24,66 +24,69 @@
     MSGPACK_DEFINE_ARRAY(key, value, offset)
 };
 
-/// \brief Records that were read from an offset on.
+/// \brief Records read from an offset on.
 struct read_page
 {
     std::vector<record> records;
-    /// Offset after the newest record of the topic.
+    /// Offset after the topic's newest record.
     std::uint64_t end = 0;
 };
 
-/// \brief The newest record of every key, as they were listed.
+/// \brief Newest record of every key.
 struct listing
 {
     std::vector<record> records;
-    /// End of the topic when the first part of the list was made.
+    /// End offset of the topic when the first part of the list was created.
     std::uint64_t end = 0;
 
     MSGPACK_DEFINE_ARRAY(records, end)
 };
 
-/// \brief What one process knows of a keyed topic of the store.
+/// \brief A process's copy of a keyed topic of the store.
 struct topic
 {
     std::map<std::string, record> newest;
-    /// Offset of the first record that was not read.
+    /// Offset of the first unread record.
     std::uint64_t next = 0;
-    /// A whole list was read once.
+    /// Whether a complete list has been read.
     bool is_listed = false;
-    /// Everything written before this was read; nothing if unknown.
+    /// The copy includes everything written before this time; empty if
+    /// unknown.
     std::optional<mono_time> proven_at;
 };
 
-/// \brief Takes in a list of all keys.
+/// \brief Applies a list of all keys.
 ///
-/// A list that ends before what is known already is older and is ignored; a
-/// key that it lacks was removed, unless it was read at or after its end.
-/// \param asked_at when the list was asked for
-/// \returns what changed; removed keys with an empty value
+/// A list that ends before `state.next` is outdated and is ignored. A key that
+/// is not in the list was removed, unless its record has an offset at or after
+/// the end of the list.
+/// \param asked_at when the list was requested
+/// \returns the changed records; removed keys have an empty value
 std::vector<record> on_listing(topic& state, listing const& from,
                                mono_time asked_at);
 
-/// \brief Takes in records read from `state.next` on.
+/// \brief Applies records read from `state.next` on.
 std::vector<record> on_page(topic& state, read_page const& page,
                             mono_time asked_at);
 
-/// \brief Another process proved at `proven_at`, by our clock, that nothing
-/// was written from `end` on.
+/// \brief Applies another process's confirmation that at `proven_at`, by the
+/// local clock, no record existed from `end` on.
 void on_vouched(topic& state, std::uint64_t end, mono_time proven_at);
 
-/// \brief Number of keys that are not removed.
+/// \brief Number of keys without the removed ones.
 [[nodiscard]] std::size_t live_keys(topic const& state);
 
-/// \brief The newest records from an offset on, removed keys with an empty
-/// value, for a process that knows all before that offset.
+/// \brief Newest records from an offset on, for a process that has all records
+/// before that offset; removed keys have an empty value.
 [[nodiscard]] listing changes_since(topic const& state, std::uint64_t since);
 
-/// \brief Takes in `changes_since` of another process.
-/// \param since what was asked for; a list that leaves a gap is ignored
+/// \brief Applies the result of `changes_since` of another process.
+/// \param since requested offset; a list that leaves a gap is ignored
 std::vector<record> on_shared(topic& state, listing const& from,
                               std::uint64_t since, mono_time proven_at);
 
-/// \brief How old the knowledge may be; nothing if it was never proven.
+/// \brief Upper bound of the copy's staleness; empty if it was never
+/// confirmed.
 [[nodiscard]] std::optional<microseconds> age(topic const& state,
                                               mono_time now);
 
