--- a/jujubestand/status/cache_events.hpp
+++ b/jujubestand/status/cache_events.hpp
@@ -8,10 +8,10 @@
 namespace jujubestand::status
 {
 
-/// \brief Names a cached part under its scope, shortened.
+/// \brief Short hash that identifies a cached part within its scope.
 using part_hash = std::uint32_t;
 
-/// \brief Hash of a part that is cached under a scope.
+/// \brief Hash of a part that is cached in a scope.
 [[nodiscard]] part_hash hash_of(std::string_view scope,
                                 std::uint64_t part) noexcept;
 
@@ -19,7 +19,7 @@
 struct cache_change
 {
     part_hash part = 0;
-    /// Tokens of the part that are cached now.
+    /// Tokens of the part that are cached after the change.
     std::uint32_t tokens = 0;
     bool is_dropped = false;
 };
@@ -27,11 +27,11 @@
 /// \brief Changes of an engine's cache, in order.
 struct cache_events
 {
-    /// Another one means that the engine restarted, with an empty cache.
+    /// Changes when the engine restarts, with an empty cache.
     std::uint64_t epoch = 0;
     /// Number of the next change.
     std::uint64_t next = 0;
-    /// Changes before these were lost.
+    /// Whether earlier changes were lost.
     bool is_gap = false;
     std::vector<cache_change> changes;
 };
--- a/jujubestand/status/cache_view.cpp
+++ b/jujubestand/status/cache_view.cpp
@@ -9,11 +9,13 @@
 namespace
 {
 
-/// Removals that are kept for gateways that lag; later ones start anew.
+/// Removals that are stored for gateways that lag behind. A gateway that lags
+/// further behind gets the whole view again.
 constexpr std::size_t removals_limit = 1'024;
 
-/// Changes in one delta. A gateway on a narrow link gets many of them at once,
-/// one of each engine, and what is left over with its next question.
+/// Changes in one delta. A gateway gets deltas of many engines at once, which
+/// a low-bandwidth link must carry; its next requests get the remaining
+/// changes.
 constexpr std::size_t delta_limit = 64;
 
 void forget_oldest_removal(cache_view& view)
@@ -22,7 +24,7 @@
     view.removals.pop_front();
     view.horizon = oldest;
     auto const found = view.changes.find(oldest);
-    // A part that came back has a later change in its place.
+    // A part that was cached again since has a later entry in `changes`.
     if (found == view.changes.end())
         return;
     view.parts.erase(found->second);
@@ -82,7 +84,8 @@
         change(view, one.part, one.tokens);
 }
 
-// The horizon passes what every copy knows: all of them start anew.
+// The horizon passes the generation of every copy, so each copy gets the whole
+// view again.
 void clear(cache_view& view)
 {
     view.parts.clear();
--- a/jujubestand/status/cache_view.hpp
+++ b/jujubestand/status/cache_view.hpp
@@ -13,11 +13,11 @@
 namespace jujubestand::status
 {
 
-/// \brief One cached part, or its end, as it travels to gateways.
+/// \brief Cached part, or the removal of one, as sent to gateways.
 struct cache_entry
 {
     part_hash part = 0;
-    /// 0: no longer cached.
+    /// Cached tokens; 0: the part was removed.
     std::uint32_t tokens = 0;
 
     bool operator==(cache_entry const&) const = default;
@@ -25,13 +25,13 @@
     MSGPACK_DEFINE_ARRAY(part, tokens)
 };
 
-/// \brief How much of a view a gateway knows.
+/// \brief Position of a gateway's copy in the changes of a view.
 struct cache_mark
 {
-    /// Changes up to this one are known.
+    /// The copy includes the changes up to this one.
     std::uint64_t generation = 0;
-    /// The copy was empty when the view had this generation: it lacks no
-    /// removal since.
+    /// The copy was empty when the view had this generation, so removals up to
+    /// it don't concern the copy.
     std::uint64_t base = 0;
 
     bool operator==(cache_mark const&) const = default;
@@ -39,75 +39,76 @@
     MSGPACK_DEFINE_ARRAY(generation, base)
 };
 
-/// \brief Changes of a view that a gateway lacks, the oldest first; more may
-/// follow those.
+/// \brief Changes of a view that a gateway's copy lacks, the oldest first; more
+/// may remain.
 struct cache_delta
 {
-    /// What the gateway knows once it has taken the entries in.
+    /// Position of the copy once the entries are applied.
     cache_mark mark;
-    /// What the gateway has to know before.
+    /// Generation that the copy must have before the entries are applied.
     std::uint64_t after = 0;
-    /// The gateway's copy has to be emptied first.
+    /// The copy must be cleared before the entries are applied.
     bool is_whole = false;
     std::vector<cache_entry> entries;
 
     MSGPACK_DEFINE_ARRAY(mark, after, is_whole, entries)
 };
 
-/// \brief What is known of one part: its tokens and the generation of its
-/// last change.
+/// \brief Cached tokens of a part and the generation of its last change.
 struct viewed_part
 {
     std::uint32_t tokens = 0;
     std::uint64_t generation = 0;
 };
 
-/// \brief What an agent believes its engine has cached, in the order of the
-/// changes, so that each gateway gets only what it lacks.
+/// \brief An agent's view of its engine's cache, with the order of the changes,
+/// so that each gateway gets only the changes that it lacks.
 struct cache_view
 {
-    /// Parts, and removals that gateways may still lack: `tokens` is 0.
+    /// Cached parts, and removals that gateways may still lack (with 0
+    /// tokens).
     std::unordered_map<part_hash, viewed_part> parts;
-    /// The same in the order of their last changes.
+    /// The same parts by the generation of their last change.
     std::map<std::uint64_t, part_hash> changes;
     /// Generations of the removals in `parts`, the oldest first.
     std::deque<std::uint64_t> removals;
-    /// Counts changes.
+    /// Generation of the last change.
     std::uint64_t generation = 0;
-    /// Removals up to here are forgotten.
+    /// Removals up to this generation are no longer stored.
     std::uint64_t horizon = 0;
     std::uint64_t epoch = 0;
     std::uint64_t next = 0;
 };
 
-/// \brief Begins a view at a generation that no earlier life of the process
-/// has reached, so that copies of an earlier one are told from it.
+/// \brief Starts a view at a generation that no earlier run of the process has
+/// reached, so that copies of an earlier run are recognized as such.
 void begin(cache_view& view, std::uint64_t generation);
 
-/// \brief Takes in changes of the engine's cache.
-/// \returns false if changes were lost and all parts must be listed anew
+/// \brief Applies changes of the engine's cache.
+/// \returns false if changes were lost and all parts must be listed again
 bool on_events(cache_view& view, cache_events const& events);
 
-/// \brief Takes in a list of all parts.
+/// \brief Replaces the view by a list of all parts.
 void on_list(cache_view& view, cache_events const& list);
 
-/// \brief The engine's cache is empty: it restarted or has new weights.
+/// \brief Clears the view, since the engine's cache is empty: the engine
+/// restarted or loaded new weights.
 void clear(cache_view& view);
 
-/// \brief What a gateway lacks that knows the view up to a mark, as much as
-/// fits one datagram.
+/// \brief Changes after the position of a gateway's copy, as many as fit one
+/// datagram.
 [[nodiscard]] cache_delta delta_since(cache_view const& view,
                                       cache_mark const& known);
 
-/// \brief What a gateway knows of one engine's cache.
+/// \brief A gateway's copy of the view of one engine's cache.
 struct cache_copy
 {
     std::unordered_map<part_hash, std::uint32_t> parts;
     cache_mark mark;
 };
 
-/// \brief Takes in a delta; one that doesn't follow what the copy knows
-/// changes nothing.
+/// \brief Applies a delta; one that doesn't continue at the copy's position is
+/// ignored.
 void on_delta(cache_copy& copy, cache_delta const& delta);
 
 } // namespace jujubestand::status
--- a/jujubestand/status/engine_report.hpp
+++ b/jujubestand/status/engine_report.hpp
@@ -9,27 +9,27 @@
 namespace jujubestand::status
 {
 
-/// \brief What a model engine reports of itself.
+/// \brief Status report of a model engine.
 struct engine_report
 {
     /// Version of the weights of each model.
     std::map<std::string, std::uint64_t> versions;
-    /// It carries out an order.
+    /// The engine is carrying out an order.
     bool is_busy = false;
-    /// Orders that it accepted since its start.
+    /// Orders accepted since the start of the engine.
     std::uint64_t orders_accepted = 0;
-    /// Calls that wait for a place.
+    /// Calls that wait for a slot.
     std::uint32_t queued = 0;
-    /// Calls that run.
+    /// Running calls.
     std::uint32_t running = 0;
-    /// Running calls that made no output yet.
+    /// Running calls in prefill, without output so far.
     std::uint32_t reading = 0;
     /// Hashes of the ids of the running calls.
     std::vector<std::uint64_t> runs;
-    /// Memory that running calls hold, in tokens.
+    /// Memory in use by running calls, in tokens.
     std::uint64_t memory_used = 0;
     std::uint64_t memory_total = 0;
-    /// Wall clock of its start, in ms; 0 if it does not tell.
+    /// Wall clock time of the engine's start, in ms; 0 if not reported.
     std::uint64_t born_ms = 0;
 };
 
--- a/jujubestand/status/messages.cpp
+++ b/jujubestand/status/messages.cpp
@@ -27,7 +27,7 @@
     }
     catch (std::exception const&)
     {
-        // Datagrams come from anywhere; what is no message says nothing.
+        // Any host can send a datagram; malformed ones are ignored.
         return std::nullopt;
     }
     return std::nullopt;
--- a/jujubestand/status/messages.hpp
+++ b/jujubestand/status/messages.hpp
@@ -13,32 +13,35 @@
 namespace jujubestand::status
 {
 
-/// \brief Number of the messages' format; others are ignored.
+/// \brief Version of the message format; messages of other versions are
+/// ignored.
 inline constexpr std::uint32_t format_number = 2;
 
-/// \brief A gateway asks an agent for its status.
+/// \brief Status request of a gateway to an agent.
 struct question
 {
     std::uint32_t format = format_number;
-    /// The asker's own clock; comes back in the answer.
+    /// Time of the request by the sender's clock; returned in the response.
     std::int64_t asked_at_us = 0;
     std::string gateway;
-    /// The operator's topic up to this offset is known to the gateway.
+    /// End offset of the gateway's copy of the operator's topic.
     std::uint64_t operator_end = 0;
-    /// Age of the gateway's proof of that; -1: never proven.
+    /// Time since that copy was last confirmed to be current; -1: never.
     std::int64_t proof_age_us = -1;
-    /// What the gateway knows of the engine's cache.
+    /// Position of the gateway's copy of the engine's cache view.
     cache_mark cache;
-    /// Weights that the operator wants, by model.
+    /// Versions of weights that the operator requests, by model.
     std::map<std::string, std::uint64_t> wanted;
-    /// Id of the engine beside the agent, as it is registered.
+    /// Id under which the agent's engine is registered.
     std::string upstream;
-    /// Place of that engine among those of its pool, and their number.
+    /// Index of that engine in its pool.
     std::uint32_t place = 0;
+    /// Engines in the pool.
     std::uint32_t engines = 1;
-    /// Width of the gateway's link; gateways with wide ones read the store.
+    /// Bandwidth of the gateway's link, in Mbit/s; the gateways with the most
+    /// bandwidth read the store.
     double link_mbps = 0;
-    /// Of the list of gateways that the asker knows.
+    /// `hash_of` of the list of gateways that the sender has.
     std::uint64_t gateways_hash = 0;
 
     MSGPACK_DEFINE_ARRAY(format, asked_at_us, gateway, operator_end,
@@ -46,17 +49,19 @@
                          link_mbps, gateways_hash)
 };
 
-/// \brief What an agent knows of its engine and of the store.
+/// \brief Status of an agent's engine and of the agent's copy of the operator's
+/// topic.
 struct answer
 {
     std::uint32_t format = format_number;
-    /// 0: nobody asked; such an answer proves nothing.
+    /// Time of the request by the requesting gateway's clock; 0: sent without a
+    /// request, so it doesn't confirm that any copy is current.
     std::int64_t asked_at_us = 0;
     std::string agent;
     bool is_engine_reachable = false;
-    /// The engine is about to load weights, or does so.
+    /// The engine is about to load weights, or is loading them.
     bool is_preparing = false;
-    /// Time until it is to load weights; -1: no load is known to come.
+    /// Time until the engine is to load weights; -1: no load is planned.
     std::int64_t load_due_us = -1;
     bool is_busy = false;
     std::map<std::string, std::uint64_t> versions;
@@ -67,14 +72,14 @@
     std::uint64_t memory_total = 0;
     /// Age of the engine's report.
     std::uint32_t report_age_ms = 0;
-    /// The operator's topic up to this offset is known to the agent.
+    /// End offset of the agent's copy of the operator's topic.
     std::uint64_t operator_end = 0;
-    /// Age of the proof of that; -1: never proven.
+    /// Time since that copy was last confirmed to be current; -1: never.
     std::int64_t proof_age_us = -1;
-    /// IP numbers of the gateways that asked lately, those with the widest
-    /// links first; empty if the asker knows this list.
+    /// IP addresses of the gateways with a recent request, those with the most
+    /// bandwidth first; empty if the requesting gateway already has this list.
     std::vector<std::string> gateways;
-    /// What changed in the engine's cache since the asked mark.
+    /// Changes of the engine's cache after the position in the request.
     cache_delta cache;
 
     MSGPACK_DEFINE_ARRAY(format, asked_at_us, agent, is_engine_reachable,
@@ -84,19 +89,19 @@
                          cache)
 };
 
-/// \brief A gateway asks another one how recent its knowledge is.
+/// \brief Request of a gateway to another one for the state of its copies.
 struct peer_question
 {
     std::uint32_t format = format_number;
     std::int64_t asked_at_us = 0;
-    /// What the asker knows of each store of parts, by address; empty for
-    /// gateways that it does not follow in this.
+    /// Position of the sender's copy of each part store, by address; empty if
+    /// the sender does not read part stores through this gateway.
     std::map<std::string, cache_mark> stores;
 
     MSGPACK_DEFINE_ARRAY(format, asked_at_us, stores)
 };
 
-/// \brief What a gateway knows of a store of parts.
+/// \brief Status of a part store, as a gateway sees it.
 struct store_standing
 {
     bool is_alive = false;
@@ -105,37 +110,37 @@
     MSGPACK_DEFINE_ARRAY(is_alive, cache)
 };
 
-/// \brief How far a gateway knows one topic of the store.
+/// \brief State of a gateway's copy of one topic of the store.
 struct topic_standing
 {
     std::uint64_t end = 0;
-    /// Age of the proof of that; -1: never proven.
+    /// Time since the copy was last confirmed to be current; -1: never.
     std::int64_t proof_age_us = -1;
-    /// Keys that are not removed: a list may remove some and end where the
-    /// reading was.
+    /// Keys without the removed ones. Copies with the same end can differ in
+    /// this: a list may remove keys and end where reading had stopped.
     std::uint64_t live_keys = 0;
 
     MSGPACK_DEFINE_ARRAY(end, proof_age_us, live_keys)
 };
 
-/// \brief What a gateway answers to another one.
+/// \brief Response of a gateway to a `peer_question`.
 struct peer_answer
 {
     std::uint32_t format = format_number;
     std::int64_t asked_at_us = 0;
     topic_standing operators;
     topic_standing upstreams;
-    /// Stores of parts whose events the answering gateway reads.
+    /// Part stores whose events the responding gateway reads, by address.
     std::map<std::string, store_standing> stores;
 
     MSGPACK_DEFINE_ARRAY(format, asked_at_us, operators, upstreams, stores)
 };
 
-/// \brief Hash of a list of gateways, in its order.
+/// \brief Hash of a list of gateways; depends on the order.
 [[nodiscard]] std::uint64_t
 hash_of(std::vector<std::string> const& gateways) noexcept;
 
-/// \brief Kinds of messages, told by their first byte.
+/// \brief Kind of a message: the first byte of the datagram.
 enum class message_kind : char
 {
     question = 'q',
@@ -144,7 +149,7 @@
     peer_answer = 'r',
 };
 
-/// \brief Kind of each message.
+/// \brief Kind of a message type.
 template <class Message>
 inline constexpr message_kind kind_of = message_kind::question;
 template <>
@@ -155,15 +160,15 @@
 template <>
 inline constexpr message_kind kind_of<peer_answer> = message_kind::peer_answer;
 
-/// \brief Bytes of a message with its kind, as one datagram.
+/// \brief Serializes a message as one datagram, with its kind.
 template <class Message>
 [[nodiscard]] std::string to_datagram(Message const& message);
 
-/// \brief Reads a datagram; nothing if it is no such message.
+/// \brief Parses a datagram; empty if it is not a message of this type.
 template <class Message>
 [[nodiscard]] std::optional<Message> from_datagram(std::string_view bytes);
 
-/// \brief Bytes of a message.
+/// \brief Serializes a message.
 template <class Message>
 [[nodiscard]] std::string to_bytes(Message const& message)
 {
--- a/jujubestand/status/test/cache_view_test.cpp
+++ b/jujubestand/status/test/cache_view_test.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-// \returns the deltas that it took
+// \returns the number of deltas that were applied
 std::size_t catch_up(cache_copy& copy, cache_view const& view)
 {
     constexpr std::size_t enough = 200;
@@ -57,8 +57,9 @@
     EXPECT_TRUE(live(view).empty());
 }
 
-// A gateway that starts beside a large store would fill a narrow link with
-// one answer, and again with the next one before that has arrived.
+// Without a limit, the first response about a large cache would saturate a
+// low-bandwidth link of a new gateway, and the next one would be sent before it
+// has arrived.
 TEST(cache_view, one_delta_stays_small_however_much_is_lacking)
 {
     constexpr std::size_t many = 5'000;
@@ -86,7 +87,8 @@
     cache_copy copy;
     on_delta(copy, delta_since(view, copy.mark));
     ASSERT_NE(copy.mark.generation, view.generation);
-    // One that the copy has, one that it lacks, and one that comes back.
+    // A part that the copy has, one that it lacks, and one that is cached again
+    // afterwards.
     for (part_hash const part : {2U, 290U, 3U})
         on_events(view, {0, view.next + 1, false, {{part, 0, true}}});
     fill(view, 3, 1);
@@ -94,8 +96,8 @@
     EXPECT_EQ(copy.parts, live(view));
 }
 
-// A later life of the process begins at a higher generation, so a copy of the
-// earlier one is never taken for a copy that lags.
+// A later run of the process starts at a higher generation, so a copy of an
+// earlier run is not mistaken for one that lags behind.
 TEST(cache_view, a_copy_of_an_earlier_life_starts_anew)
 {
     cache_view before;
@@ -132,8 +134,8 @@
     EXPECT_LT(view.parts.size(), many);
 }
 
-// A copy that follows by deltas, some of them lost, late or twice, is the same
-// as the view whenever it knows its last change.
+// A copy that is updated by deltas, some of them lost, late or duplicated,
+// equals the view whenever it has the generation of the view.
 RC_GTEST_PROP(cache_view, a_copy_follows_through_losses, ())
 {
     cache_view view;
