--- a/jujubestand/agent/agent.cpp
+++ b/jujubestand/agent/agent.cpp
@@ -20,71 +20,71 @@
 /// Part of the time limit for new weights that remains after the wait for
 /// long calls, for ending the calls still running and for the load itself.
 constexpr std::chrono::milliseconds load_reserve{2'600};
-constexpr std::chrono::milliseconds long_run_limit_min{1'000};
+constexpr std::chrono::milliseconds long_call_wait_limit_min{1'000};
 constexpr int ok = 200;
 
-void make_parts(agent_state& self)
+void create_components(agent_state& state)
 {
-    self.calls = std::make_unique<http1::client>(self.base);
-    self.store =
-        std::make_unique<platform::store>(*self.calls, self.settings.store);
+    state.http_client = std::make_unique<http1::client>(state.base);
+    state.store = std::make_unique<platform::store>(*state.http_client,
+                                                    state.settings.store);
     follow::follower_events events;
-    events.on_changes = [&self](std::vector<follow::record> const& rows)
+    events.on_changes = [&state](std::vector<follow::record> const& rows)
     {
-        apply_records(self, rows);
+        apply_records(state, rows);
     };
-    events.on_unreachable = [&self](reason const& why)
+    events.on_unreachable = [&state](reason const& why)
     {
-        self.log->write(event_number::log_unreachable, {},
-                        {{"topic", "operator"}, {"why", to_text(why)}});
+        state.log->write(event_number::log_unreachable, {},
+                         {{"topic", "operator"}, {"why", to_text(why)}});
     };
-    events.on_expired = [&self](reason const& why)
+    events.on_expired = [&state](reason const& why)
     {
-        self.log->write(event_number::log_gap, {},
-                        {{"topic", "operator"}, {"why", to_text(why)}});
+        state.log->write(event_number::log_gap, {},
+                         {{"topic", "operator"}, {"why", to_text(why)}});
     };
-    events.on_reachable = [&self]
+    events.on_reachable = [&state]
     {
-        self.log->write(event_number::log_reachable, {},
-                        {{"topic", "operator"}});
+        state.log->write(event_number::log_reachable, {},
+                         {{"topic", "operator"}});
     };
-    self.operator_topic = std::make_unique<follow::follower>(
-        self.base, *self.store,
+    state.operator_topic = std::make_unique<follow::follower>(
+        state.base, *state.store,
         follow::reading{std::string(platform::names::operator_topic),
                         std::chrono::milliseconds{0},
                         std::chrono::milliseconds{0}},
         std::move(events));
-    self.questions = std::make_unique<loop::datagrams>(
-        self.base,
-        [&self](address const& from, std::string_view bytes)
+    state.status_socket = std::make_unique<loop::datagrams>(
+        state.base,
+        [&state](address const& from, std::string_view bytes)
         {
-            on_question(self, from, bytes);
+            on_status_request(state, from, bytes);
         });
     http1::server_events served;
     served.on_request =
-        [&self](http1::exchange_id exchange, http1::server_request const&)
+        [&state](http1::exchange_id exchange, http1::server_request const&)
     {
-        self.records->respond(exchange, ok, {},
-                              status::to_bytes(follow::changes_since(
-                                  self.operator_topic->known(), 0)));
+        state.records_server->respond(exchange, ok, {},
+                                      status::to_bytes(follow::changes_since(
+                                          state.operator_topic->known(), 0)));
     };
     served.on_gone = [](http1::exchange_id) {};
-    self.records = std::make_unique<http1::server>(self.base, served);
-    self.report_timer.emplace(self.base,
-                              [&self]
+    state.records_server = std::make_unique<http1::server>(state.base, served);
+    state.report_timer.emplace(state.base,
+                               [&state]
+                               {
+                                   request_report(state);
+                               });
+    state.cache_timer.emplace(state.base,
+                              [&state]
                               {
-                                  ask_report(self);
+                                  request_cache_events(state);
+                              });
+    state.fence_timer.emplace(state.base,
+                              [&state]
+                              {
+                                  acquire_fence(state);
                               });
-    self.cache_timer.emplace(self.base,
-                             [&self]
-                             {
-                                 ask_cache_events(self);
-                             });
-    self.fence_timer.emplace(self.base,
-                             [&self]
-                             {
-                                 take_fence(self);
-                             });
 }
 
 } // namespace
@@ -93,22 +93,24 @@
 {
     auto* const base = event_base_new();
     logs::log log(STDOUT_FILENO);
-    agent_state self;
-    self.base = base;
-    self.log = &log;
-    self.settings = std::move(settings);
-    if (!self.settings.upstream)
+    agent_state state;
+    state.base = base;
+    state.log = &log;
+    state.settings = std::move(settings);
+    if (!state.settings.upstream)
     {
         log.write(event_number::settings_refused, {},
                   {{"why", "agent settings name no upstream"}});
         return process::exit_code::bad_settings;
     }
-    self.weights.limits.long_run_limit = std::max(
-        long_run_limit_min, self.settings.limits.weights_lag - load_reserve);
-    make_parts(self);
+    state.weights.limits.long_call_wait_limit =
+        std::max(long_call_wait_limit_min,
+                 state.settings.limits.weights_lag - load_reserve);
+    create_components(state);
     reason why;
-    address const own{self.settings.ip, self.settings.internal_port};
-    if (!self.questions->bind(own, why) || !self.records->listen(own, why))
+    address const own{state.settings.ip, state.settings.internal_port};
+    if (!state.status_socket->bind(own, why) ||
+        !state.records_server->listen(own, why))
     {
         log.write(event_number::settings_refused, {}, {{"why", to_text(why)}});
         return process::exit_code::failed;
@@ -124,12 +126,12 @@
                     log.write(event_number::settings_reloaded, {}, {});
                 }}});
     log.write(event_number::process_started, {},
-              {{"role", "agent"}, {"name", self.settings.name}});
-    self.report_timer->start_every(report_interval);
-    status::begin(self.cache, static_cast<std::uint64_t>(
-                                  wall_now().time_since_epoch().count()));
-    ask_cache_events(self);
-    take_fence(self);
+              {{"role", "agent"}, {"name", state.settings.name}});
+    state.report_timer->start_every(report_interval);
+    status::begin(state.cache, static_cast<std::uint64_t>(
+                                   wall_now().time_since_epoch().count()));
+    request_cache_events(state);
+    acquire_fence(state);
     event_base_dispatch(base);
     log.write(event_number::drain_finished, {}, {});
     return process::exit_code::stopped;
--- a/jujubestand/agent/answers.hpp
+++ b/jujubestand/agent/answers.hpp
@@ -10,11 +10,11 @@
 
 /// \brief Pushes a status message to all known gateways if the engine became
 /// usable or unusable since the last call.
-void tell_gateways(agent_state& self);
+void notify_gateways(agent_state& state);
 
 /// \brief Handles a status request from a gateway.
-void on_question(agent_state& self, address const& from,
-                 std::string_view bytes);
+void on_status_request(agent_state& state, address const& from,
+                       std::string_view bytes);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/agent/askers.cpp
+++ b/jujubestand/agent/askers.cpp
@@ -9,44 +9,45 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds asker_memory{3'000};
+constexpr std::chrono::milliseconds retention_period{3'000};
 
-bool goes_first(known_gateway const& one, known_gateway const& other)
+bool has_priority(gateway_entry const& one, gateway_entry const& other)
 {
     if (one.link_mbps != other.link_mbps)
         return one.link_mbps > other.link_mbps;
-    return one.where.host < other.where.host;
+    return one.endpoint.host < other.endpoint.host;
 }
 
 } // namespace
 
-void forget_silent(askers& all, mono_time now)
+void remove_stale(gateway_table& all, mono_time now)
 {
     std::erase_if(all,
                   [now](auto const& row)
                   {
-                      return now - row.second.asked_at > asker_memory;
+                      return now - row.second.last_request_at >
+                             retention_period;
                   });
 }
 
-std::vector<std::string> hosts_by_width(askers const& all)
+std::vector<std::string> hosts_by_bandwidth(gateway_table const& all)
 {
-    std::vector<known_gateway> known;
+    std::vector<gateway_entry> known;
     known.reserve(all.size());
     for (auto const& [name, gateway] : all)
         known.push_back(gateway);
-    std::sort(known.begin(), known.end(), goes_first);
+    std::sort(known.begin(), known.end(), has_priority);
     std::vector<std::string> hosts;
     hosts.reserve(all.size());
     for (auto const& gateway : known)
-        hosts.push_back(gateway.where.host);
+        hosts.push_back(gateway.endpoint.host);
     return hosts;
 }
 
-std::vector<std::string> hosts_unless_known(askers const& all,
-                                            std::uint64_t known_hash)
+std::vector<std::string> hosts_if_changed(gateway_table const& all,
+                                          std::uint64_t known_hash)
 {
-    auto hosts = hosts_by_width(all);
+    auto hosts = hosts_by_bandwidth(all);
     if (status::hash_of(hosts) == known_hash)
         hosts.clear();
     return hosts;
--- a/jujubestand/agent/askers.hpp
+++ b/jujubestand/agent/askers.hpp
@@ -14,28 +14,29 @@
 {
 
 /// \brief A gateway that polls the agent's status.
-struct known_gateway
+struct gateway_entry
 {
-    address where;
+    address endpoint;
     /// Bandwidth of its link, in Mbit/s.
     double link_mbps = 0;
-    mono_time asked_at{};
+    mono_time last_request_at{};
 };
 
 /// \brief Gateways with a recent status request, by name.
-using askers = std::map<std::string, known_gateway>;
+using gateway_table = std::map<std::string, gateway_entry>;
 
 /// \brief Removes gateways without a recent status request.
-void forget_silent(askers& all, mono_time now);
+void remove_stale(gateway_table& all, mono_time now);
 
 /// \brief IP addresses of the gateways, those with the most bandwidth first:
 /// these read the store for the others.
-[[nodiscard]] std::vector<std::string> hosts_by_width(askers const& all);
+[[nodiscard]] std::vector<std::string>
+hosts_by_bandwidth(gateway_table const& all);
 
 /// \brief The same list, or an empty one if the gateway already has it.
 /// \param known_hash `status::hash_of` of the list that the gateway has
 [[nodiscard]] std::vector<std::string>
-hosts_unless_known(askers const& all, std::uint64_t known_hash);
+hosts_if_changed(gateway_table const& all, std::uint64_t known_hash);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/agent/engine.cpp
+++ b/jujubestand/agent/engine.cpp
@@ -13,121 +13,121 @@
 {
 
 constexpr std::chrono::milliseconds report_timeout{400};
-constexpr std::chrono::milliseconds cache_wait{1'000};
-constexpr std::chrono::milliseconds cache_pause{20};
-constexpr std::chrono::milliseconds cache_retry_pause{250};
+constexpr std::chrono::milliseconds cache_poll_timeout{1'000};
+constexpr std::chrono::milliseconds cache_poll_interval{20};
+constexpr std::chrono::milliseconds cache_retry_delay{250};
 
 /// Consecutive failed reports after which the engine counts as unreachable.
 constexpr unsigned report_failures_limit = 2;
 
-void set_reachable(agent_state& self, bool is_reachable, reason const& why)
+void set_reachable(agent_state& state, bool is_reachable, reason const& why)
 {
-    if (self.is_reachable == is_reachable)
+    if (state.is_reachable == is_reachable)
         return;
-    self.is_reachable = is_reachable;
-    self.log->write(is_reachable ? event_number::engine_reachable
-                                 : event_number::engine_unreachable,
-                    {}, {{"why", to_text(why)}});
+    state.is_reachable = is_reachable;
+    state.log->write(is_reachable ? event_number::engine_reachable
+                                  : event_number::engine_unreachable,
+                     {}, {{"why", to_text(why)}});
 }
 
-void log_loaded(agent_state& self, status::engine_report const& next)
+void log_loaded(agent_state& state, status::engine_report const& next)
 {
-    if (!self.report)
+    if (!state.report)
         return;
     for (auto const& [model, version] : next.versions)
     {
-        auto const before = self.report->versions.find(model);
-        if (before != self.report->versions.end() && before->second != version)
-            self.log->write(event_number::weights_loaded, {},
-                            {{"model", model},
-                             {"version", static_cast<std::int64_t>(version)}});
+        auto const before = state.report->versions.find(model);
+        if (before != state.report->versions.end() && before->second != version)
+            state.log->write(event_number::weights_loaded, {},
+                             {{"model", model},
+                              {"version", static_cast<std::int64_t>(version)}});
     }
 }
 
-void on_report(agent_state& self, std::string const& body)
+void on_report(agent_state& state, std::string const& body)
 {
     reason why;
     auto const report = platform::decode_report(body, why);
     if (!report)
     {
-        if (++self.report_failures >= report_failures_limit)
-            set_reachable(self, false, why);
+        if (++state.report_failures >= report_failures_limit)
+            set_reachable(state, false, why);
         return;
     }
-    self.report_failures = 0;
-    log_loaded(self, *report);
-    self.report = report;
-    self.reported_at = self.report_asked_at;
-    set_reachable(self, true, {});
-    on_runs(self.weights, report->runs, mono_now());
-    if (auto const due = next_order(self.weights, *report, mono_now()))
-        give_order(self, *due);
+    state.report_failures = 0;
+    log_loaded(state, *report);
+    state.report = report;
+    state.reported_at = state.report_requested_at;
+    set_reachable(state, true, {});
+    update_running_calls(state.weights, report->runs, mono_now());
+    if (auto const due = next_order(state.weights, *report, mono_now()))
+        send_order(state, *due);
 }
 
-void list_cache(agent_state& self)
+void list_cache(agent_state& state)
 {
-    auto request = platform::cache_list_request(*self.settings.upstream);
-    request.timeout = cache_wait;
-    http1::ask_for_text(*self.calls, std::move(request),
-                        [&self](std::optional<std::string> const& body)
+    auto request = platform::cache_list_request(*state.settings.upstream);
+    request.timeout = cache_poll_timeout;
+    http1::ask_for_text(*state.http_client, std::move(request),
+                        [&state](std::optional<std::string> const& body)
                         {
                             reason why;
                             auto const list = platform::decode_cache_list(
                                 body.value_or(""), why);
                             if (list)
-                                status::on_list(self.cache, *list);
-                            self.cache_timer->start(cache_retry_pause);
+                                status::on_list(state.cache, *list);
+                            state.cache_timer->start(cache_retry_delay);
                         });
 }
 
-void on_cache_events(agent_state& self, std::optional<std::string> const& body)
+void on_cache_events(agent_state& state, std::optional<std::string> const& body)
 {
     reason why;
     auto const events = platform::decode_cache_events(body.value_or(""), why);
     if (!events)
     {
-        self.cache_timer->start(cache_retry_pause);
+        state.cache_timer->start(cache_retry_delay);
         return;
     }
-    if (status::on_events(self.cache, *events))
+    if (status::on_events(state.cache, *events))
     {
-        self.cache_timer->start(cache_pause);
+        state.cache_timer->start(cache_poll_interval);
         return;
     }
-    self.log->write(event_number::cache_events_gap, {},
-                    {{"next", static_cast<std::int64_t>(events->next)}});
-    list_cache(self);
+    state.log->write(event_number::cache_events_gap, {},
+                     {{"next", static_cast<std::int64_t>(events->next)}});
+    list_cache(state);
 }
 
 } // namespace
 
-void ask_report(agent_state& self)
+void request_report(agent_state& state)
 {
-    if (self.is_reporting)
+    if (state.is_report_in_flight)
         return;
-    self.is_reporting = true;
-    self.report_asked_at = mono_now();
-    auto request = platform::report_request(*self.settings.upstream);
+    state.is_report_in_flight = true;
+    state.report_requested_at = mono_now();
+    auto request = platform::report_request(*state.settings.upstream);
     request.timeout = report_timeout;
     request.connect_timeout = report_timeout;
-    http1::ask_for_text(*self.calls, std::move(request),
-                        [&self](std::optional<std::string> const& body)
+    http1::ask_for_text(*state.http_client, std::move(request),
+                        [&state](std::optional<std::string> const& body)
                         {
-                            self.is_reporting = false;
-                            on_report(self, body.value_or(""));
-                            tell_gateways(self);
+                            state.is_report_in_flight = false;
+                            on_report(state, body.value_or(""));
+                            notify_gateways(state);
                         });
 }
 
-void ask_cache_events(agent_state& self)
+void request_cache_events(agent_state& state)
 {
-    auto request = platform::cache_events_request(*self.settings.upstream,
-                                                  self.cache.next, cache_wait);
-    request.timeout = 2 * cache_wait;
-    http1::ask_for_text(*self.calls, std::move(request),
-                        [&self](std::optional<std::string> const& body)
+    auto request = platform::cache_events_request(
+        *state.settings.upstream, state.cache.next, cache_poll_timeout);
+    request.timeout = 2 * cache_poll_timeout;
+    http1::ask_for_text(*state.http_client, std::move(request),
+                        [&state](std::optional<std::string> const& body)
                         {
-                            on_cache_events(self, body);
+                            on_cache_events(state, body);
                         });
 }
 
--- a/jujubestand/agent/engine.hpp
+++ b/jujubestand/agent/engine.hpp
@@ -8,11 +8,11 @@
 {
 
 /// \brief Requests the engine's report, unless a request is in flight.
-void ask_report(agent_state& self);
+void request_report(agent_state& state);
 
 /// \brief Starts polling the engine for changes of its cache; each response
 /// schedules the next request.
-void ask_cache_events(agent_state& self);
+void request_cache_events(agent_state& state);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/agent/rollout.cpp
+++ b/jujubestand/agent/rollout.cpp
@@ -11,7 +11,7 @@
 
 /// Delay before the next order after a response that means that no load
 /// started.
-constexpr std::chrono::milliseconds refused_pause{250};
+constexpr std::chrono::milliseconds order_retry_delay{250};
 
 std::uint64_t version_of(status::engine_report const& report,
                          std::string const& model)
@@ -20,79 +20,83 @@
     return found == report.versions.end() ? 0 : found->second;
 }
 
-std::size_t loads_at_once(rollout const& state)
+std::size_t concurrent_loads(rollout const& state)
 {
-    return std::max(state.limits.loads_at_once_min,
-                    state.engines / state.limits.engines_per_load);
+    return std::max(state.limits.concurrent_loads_min,
+                    state.pool_size / state.limits.engines_per_load);
 }
 
 // The engines of a pool load in groups, so that most of them serve at any
 // time.
-std::size_t turn_of(rollout const& state)
+std::size_t group_of(rollout const& state)
 {
-    return state.place / loads_at_once(state);
+    return state.pool_index / concurrent_loads(state);
 }
 
-mono_time turn_at(rollout const& state, wanted_version const& want)
+mono_time load_time(rollout const& state, requested_version const& want)
 {
-    return want.since.value_or(mono_time{}) + state.limits.notice +
-           state.limits.turn * static_cast<std::int64_t>(turn_of(state));
+    return want.requested_at.value_or(mono_time{}) +
+           state.limits.notice_period +
+           state.limits.group_interval *
+               static_cast<std::int64_t>(group_of(state));
 }
 
-bool has_long_run(rollout const& state, mono_time now)
+bool has_long_call(rollout const& state, mono_time now)
 {
-    return std::any_of(state.runs.begin(), state.runs.end(),
+    return std::any_of(state.running_calls.begin(), state.running_calls.end(),
                        [&](auto const& row)
                        {
-                           return now - row.second > state.limits.long_run;
+                           return now - row.second > state.limits.long_call_min;
                        });
 }
 
 // Long calls get time to end before the engine stops accepting calls; those
 // that still run then are moved to another engine where allowed.
-bool is_waiting_for_long_runs(rollout const& state, wanted_version const& want,
-                              mono_time now)
+bool is_waiting_for_long_calls(rollout const& state,
+                               requested_version const& want, mono_time now)
 {
-    return want.is_age_known && has_long_run(state, now) &&
-           now < want.since.value_or(now) + state.limits.long_run_limit;
+    return want.is_age_known && has_long_call(state, now) &&
+           now < want.requested_at.value_or(now) +
+                     state.limits.long_call_wait_limit;
 }
 
 // Calls that were sent before the notice may still be queued or in prefill.
-bool is_settling(rollout const& state, wanted_version const& want,
-                 status::engine_report const& report, mono_time now)
+bool is_waiting_for_queue(rollout const& state, requested_version const& want,
+                          status::engine_report const& report, mono_time now)
 {
     return report.queued + report.reading > 0 &&
-           now < want.begun_at + state.limits.settle_limit;
+           now < want.notice_at + state.limits.queue_wait_limit;
 }
 
 } // namespace
 
-bool on_wanted(rollout& state, std::string const& model, std::uint64_t version,
-               mono_time now, bool is_age_known)
+bool record_request(rollout& state, std::string const& model,
+                    std::uint64_t version, mono_time now, bool is_age_known)
 {
-    auto& known = state.wanted[model];
+    auto& known = state.requested_versions[model];
     if (version <= known.version)
         return false;
     known.version = version;
     // A load that is already planned loads the newer version instead.
-    if (!known.since)
+    if (!known.requested_at)
     {
-        known.since = now;
+        known.requested_at = now;
         known.is_age_known = is_age_known;
     }
     return true;
 }
 
-void on_runs(rollout& state, std::vector<std::uint64_t> const& running,
-             mono_time now)
+void update_running_calls(rollout& state,
+                          std::vector<std::uint64_t> const& running,
+                          mono_time now)
 {
     std::map<std::uint64_t, mono_time> next;
     for (auto const id : running)
     {
-        auto const known = state.runs.find(id);
-        next[id] = known == state.runs.end() ? now : known->second;
+        auto const known = state.running_calls.find(id);
+        next[id] = known == state.running_calls.end() ? now : known->second;
     }
-    state.runs = std::move(next);
+    state.running_calls = std::move(next);
 }
 
 std::optional<microseconds> load_due(rollout const& state,
@@ -102,13 +106,13 @@
     if (!state.fence)
         return std::nullopt;
     std::optional<microseconds> soonest;
-    for (auto const& [model, want] : state.wanted)
+    for (auto const& [model, want] : state.requested_versions)
     {
         auto const has = version_of(report, model);
-        if (has == 0 || has >= want.version || !want.since)
+        if (has == 0 || has >= want.version || !want.requested_at)
             continue;
         microseconds const due =
-            std::max(turn_at(state, want) - now, microseconds{0});
+            std::max(load_time(state, want) - now, microseconds{0});
         soonest = soonest ? std::min(*soonest, due) : due;
     }
     return soonest;
@@ -117,18 +121,18 @@
 bool is_preparing(rollout const& state, status::engine_report const& report,
                   mono_time now)
 {
-    return std::any_of(state.wanted.begin(), state.wanted.end(),
-                       [&](auto const& row)
-                       {
-                           auto const& want = row.second;
-                           auto const has = version_of(report, row.first);
-                           return state.fence && has > 0 &&
-                                  has < want.version && want.since &&
-                                  now + state.limits.notice >=
-                                      turn_at(state, want) &&
-                                  (want.is_begun ||
-                                   !is_waiting_for_long_runs(state, want, now));
-                       });
+    return std::any_of(
+        state.requested_versions.begin(), state.requested_versions.end(),
+        [&](auto const& row)
+        {
+            auto const& want = row.second;
+            auto const has = version_of(report, row.first);
+            return state.fence && has > 0 && has < want.version &&
+                   want.requested_at &&
+                   now + state.limits.notice_period >= load_time(state, want) &&
+                   (want.is_notice_given ||
+                    !is_waiting_for_long_calls(state, want, now));
+        });
 }
 
 std::optional<order>
@@ -136,13 +140,13 @@
 {
     if (!state.fence || report.is_busy)
         return std::nullopt;
-    for (auto& [model, want] : state.wanted)
+    for (auto& [model, want] : state.requested_versions)
     {
         auto const has = version_of(report, model);
         if (has >= want.version)
         {
-            want.since.reset();
-            want.is_begun = false;
+            want.requested_at.reset();
+            want.is_notice_given = false;
             if (state.ordered_version <= has)
                 state.ordered_at.reset();
             continue;
@@ -151,15 +155,16 @@
             continue;
         bool const is_pending =
             state.ordered_at &&
-            now - *state.ordered_at < state.limits.order_patience;
-        if (!want.since || now < turn_at(state, want) || is_pending)
+            now - *state.ordered_at < state.limits.order_retry_interval;
+        if (!want.requested_at || now < load_time(state, want) || is_pending)
             continue;
-        if (!want.is_begun && is_waiting_for_long_runs(state, want, now))
+        if (!want.is_notice_given &&
+            is_waiting_for_long_calls(state, want, now))
             continue;
-        if (!std::exchange(want.is_begun, true))
-            want.begun_at = now;
-        if (now < want.begun_at + state.limits.notice ||
-            is_settling(state, want, report, now))
+        if (!std::exchange(want.is_notice_given, true))
+            want.notice_at = now;
+        if (now < want.notice_at + state.limits.notice_period ||
+            is_waiting_for_queue(state, want, report, now))
             continue;
         state.ordered_at = now;
         state.ordered_version = want.version;
@@ -168,15 +173,16 @@
     return std::nullopt;
 }
 
-void on_order_answer(rollout& state, order_answer answer, mono_time now)
+void on_order_response(rollout& state, order_response answer, mono_time now)
 {
-    if (answer == order_answer::old_fence)
+    if (answer == order_response::stale_fence)
         state.fence.reset();
-    bool const is_void = answer == order_answer::conflict ||
-                         answer == order_answer::refused ||
-                         answer == order_answer::old_fence;
+    bool const is_void = answer == order_response::conflict ||
+                         answer == order_response::refused ||
+                         answer == order_response::stale_fence;
     if (is_void)
-        state.ordered_at = now - state.limits.order_patience + refused_pause;
+        state.ordered_at =
+            now - state.limits.order_retry_interval + order_retry_delay;
 }
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/rollout.hpp
+++ b/jujubestand/agent/rollout.hpp
@@ -21,36 +21,36 @@
     /// One engine in this many of a pool may load at the same time.
     std::size_t engines_per_load = 5;
     /// Lower bound of the engines that may load at the same time.
-    std::size_t loads_at_once_min = 2;
+    std::size_t concurrent_loads_min = 2;
     /// Interval between the load starts of consecutive groups of engines.
-    std::chrono::milliseconds turn{420};
+    std::chrono::milliseconds group_interval{420};
     /// Gateways stop sending calls this long before the order is sent.
-    std::chrono::milliseconds notice{120};
+    std::chrono::milliseconds notice_period{120};
     /// A call that runs for longer than this is a long call: a load waits for
     /// its end, and gateways keep sending calls in the meantime.
-    std::chrono::milliseconds long_run{600};
+    std::chrono::milliseconds long_call_min{600};
     /// A load stops waiting for long calls this long after the operator
     /// requested the version.
-    std::chrono::milliseconds long_run_limit{2'600};
+    std::chrono::milliseconds long_call_wait_limit{2'600};
     /// The engine rejects calls that are queued or in prefill when an order
     /// arrives; the order is delayed for them by at most this long.
-    std::chrono::milliseconds settle_limit{450};
+    std::chrono::milliseconds queue_wait_limit{450};
     /// An order without a visible effect is sent again after this time.
-    std::chrono::milliseconds order_patience{700};
+    std::chrono::milliseconds order_retry_interval{700};
 };
 
 /// \brief Version of one model's weights that the operator requests.
-struct wanted_version
+struct requested_version
 {
     std::uint64_t version = 0;
     /// When the oldest version that the engine lacks was requested; empty
     /// once the engine has the newest one.
-    std::optional<mono_time> since;
-    /// False if the version may have been requested before `since`.
+    std::optional<mono_time> requested_at;
+    /// False if the version may have been requested before `requested_at`.
     bool is_age_known = true;
     /// Gateways have been told to stop sending calls.
-    bool is_begun = false;
-    mono_time begun_at{};
+    bool is_notice_given = false;
+    mono_time notice_at{};
 };
 
 /// \brief State of the weight rollout on one engine.
@@ -60,15 +60,15 @@
     /// Fencing token: invalidates the orders of earlier runs of this agent;
     /// empty until the store has assigned one.
     std::optional<std::uint64_t> fence;
-    std::map<std::string, wanted_version> wanted;
+    std::map<std::string, requested_version> requested_versions;
     /// Index of the engine in its pool.
-    std::size_t place = 0;
+    std::size_t pool_index = 0;
     /// Engines in the pool.
-    std::size_t engines = 1;
+    std::size_t pool_size = 1;
     /// When the last order was sent; reset once its effect is visible.
     std::optional<mono_time> ordered_at;
     /// Running calls of the engine, by id, and when each was first reported.
-    std::map<std::uint64_t, mono_time> runs;
+    std::map<std::uint64_t, mono_time> running_calls;
     std::uint64_t ordered_version = 0;
 };
 
@@ -83,34 +83,36 @@
 };
 
 /// \brief The engine's response to an order.
-enum class order_answer : std::uint8_t
+enum class order_response : std::uint8_t
 {
-    accepted,  ///< in progress, or the version is already loaded
-    conflict,  ///< the engine accepted another order in between
-    old_fence, ///< the engine has seen a higher fencing token
-    refused,   ///< the engine can't carry out the order
-    none,      ///< no response: the order may still be carried out
+    accepted,    ///< in progress, or the version is already loaded
+    conflict,    ///< the engine accepted another order in between
+    stale_fence, ///< the engine has seen a higher fencing token
+    refused,     ///< the engine can't carry out the order
+    no_response, ///< no response: the order may still be carried out
 };
 
 /// \brief Names of the responses.
-inline constexpr std::array<enum_name<order_answer>, 5> order_answer_names{{
-    {order_answer::accepted, "accepted"},
-    {order_answer::conflict, "conflict"},
-    {order_answer::old_fence, "old_fence"},
-    {order_answer::refused, "refused"},
-    {order_answer::none, "none"},
+inline constexpr std::array<enum_name<order_response>, 5> order_response_names{{
+    {order_response::accepted, "accepted"},
+    {order_response::conflict, "conflict"},
+    {order_response::stale_fence, "old_fence"},
+    {order_response::refused, "refused"},
+    {order_response::no_response, "none"},
 }};
 
 /// \brief Records the version that the operator requests; a version that is
 /// not newer than the recorded one is ignored.
 /// \param is_age_known false if the request may be older than this process
 /// \returns whether the version is newer than the recorded one
-bool on_wanted(rollout& state, std::string const& model, std::uint64_t version,
-               mono_time now, bool is_age_known = true);
+bool record_request(rollout& state, std::string const& model,
+                    std::uint64_t version, mono_time now,
+                    bool is_age_known = true);
 
 /// \brief Updates the running calls of the engine.
-void on_runs(rollout& state, std::vector<std::uint64_t> const& running,
-             mono_time now);
+void update_running_calls(rollout& state,
+                          std::vector<std::uint64_t> const& running,
+                          mono_time now);
 
 /// \brief Time until the engine is to load weights; 0 if the load is due or in
 /// progress, empty if none is planned.
@@ -130,7 +132,7 @@
 next_order(rollout& state, status::engine_report const& report, mono_time now);
 
 /// \brief Handles the engine's response to the last order.
-void on_order_answer(rollout& state, order_answer answer, mono_time now);
+void on_order_response(rollout& state, order_response answer, mono_time now);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/agent/test/askers_test.cpp
+++ b/jujubestand/agent/test/askers_test.cpp
@@ -13,7 +13,7 @@
     return mono_time{std::chrono::milliseconds{ms}};
 }
 
-known_gateway gateway(char const* host, double link_mbps, int asked_at_ms)
+gateway_entry gateway(char const* host, double link_mbps, int asked_at_ms)
 {
     return {{host, 7'000}, link_mbps, at(asked_at_ms)};
 }
@@ -24,31 +24,31 @@
 // of 10 Mbit/s this traffic displaced the callers' requests.
 TEST(askers, gateways_with_wide_links_come_first)
 {
-    askers const all = {{"a", gateway("10.0.0.1", 10, 0)},
-                        {"b", gateway("10.0.0.9", 200, 0)},
-                        {"c", gateway("10.0.0.5", 200, 0)},
-                        {"d", gateway("10.0.0.2", 10, 0)}};
+    gateway_table const all = {{"a", gateway("10.0.0.1", 10, 0)},
+                               {"b", gateway("10.0.0.9", 200, 0)},
+                               {"c", gateway("10.0.0.5", 200, 0)},
+                               {"d", gateway("10.0.0.2", 10, 0)}};
     std::vector<std::string> const expected = {"10.0.0.5", "10.0.0.9",
                                                "10.0.0.1", "10.0.0.2"};
-    EXPECT_EQ(hosts_by_width(all), expected);
+    EXPECT_EQ(hosts_by_bandwidth(all), expected);
 }
 
 TEST(askers, a_gateway_that_asks_no_more_is_forgotten)
 {
-    askers all = {{"a", gateway("10.0.0.1", 10, 0)},
-                  {"b", gateway("10.0.0.2", 10, 2'900)}};
-    forget_silent(all, at(3'100));
-    EXPECT_EQ(hosts_by_width(all), std::vector<std::string>{"10.0.0.2"});
+    gateway_table all = {{"a", gateway("10.0.0.1", 10, 0)},
+                         {"b", gateway("10.0.0.2", 10, 2'900)}};
+    remove_stale(all, at(3'100));
+    EXPECT_EQ(hosts_by_bandwidth(all), std::vector<std::string>{"10.0.0.2"});
 }
 
 TEST(askers, the_list_goes_only_to_gateways_that_lack_it)
 {
-    askers all = {{"a", gateway("10.0.0.1", 10, 0)}};
-    auto const known = status::hash_of(hosts_unless_known(all, 0));
-    EXPECT_TRUE(hosts_unless_known(all, known).empty());
+    gateway_table all = {{"a", gateway("10.0.0.1", 10, 0)}};
+    auto const known = status::hash_of(hosts_if_changed(all, 0));
+    EXPECT_TRUE(hosts_if_changed(all, known).empty());
     all["b"] = gateway("10.0.0.2", 200, 0);
     std::vector<std::string> const both = {"10.0.0.2", "10.0.0.1"};
-    EXPECT_EQ(hosts_unless_known(all, known), both);
+    EXPECT_EQ(hosts_if_changed(all, known), both);
 }
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/test/rollout_test.cpp
+++ b/jujubestand/agent/test/rollout_test.cpp
@@ -24,8 +24,8 @@
 {
     rollout state;
     state.fence = 7;
-    state.place = place;
-    state.engines = engines;
+    state.pool_index = place;
+    state.pool_size = engines;
     return state;
 }
 
@@ -49,7 +49,7 @@
     for (std::size_t place = 0; place < 20; ++place)
     {
         auto state = ready(place, 20);
-        on_wanted(state, "m", 2, at(1'000));
+        record_request(state, "m", 2, at(1'000));
         ++starts[first_order(state, engine(1, 0), 1'000)];
     }
     EXPECT_EQ(starts.size(), 5U);
@@ -60,9 +60,9 @@
 TEST(rollout, an_order_names_the_newest_version_and_what_came_before)
 {
     auto state = ready(0, 9);
-    EXPECT_TRUE(on_wanted(state, "m", 2, at(1'000)));
-    EXPECT_TRUE(on_wanted(state, "m", 3, at(1'050)));
-    EXPECT_FALSE(on_wanted(state, "m", 2, at(1'060)));
+    EXPECT_TRUE(record_request(state, "m", 2, at(1'000)));
+    EXPECT_TRUE(record_request(state, "m", 3, at(1'050)));
+    EXPECT_FALSE(record_request(state, "m", 2, at(1'060)));
     int const when = first_order(state, engine(1, 4), 1'000);
     ASSERT_GT(when, 0);
     state.ordered_at.reset();
@@ -76,23 +76,23 @@
 TEST(rollout, a_lost_order_is_repeated_for_the_same_state_only)
 {
     auto state = ready(0, 9);
-    on_wanted(state, "m", 2, at(0));
+    record_request(state, "m", 2, at(0));
     int const first = first_order(state, engine(1, 0), 0);
-    on_order_answer(state, order_answer::none, at(first));
+    on_order_response(state, order_response::no_response, at(first));
     EXPECT_FALSE(next_order(state, engine(1, 0), at(first + 100)));
     int const second = first_order(state, engine(1, 0), first + 100);
-    EXPECT_GE(second - first, state.limits.order_patience.count());
+    EXPECT_GE(second - first, state.limits.order_retry_interval.count());
     EXPECT_FALSE(next_order(state, engine(2, 1), at(second + 2'000)));
 }
 
 TEST(rollout, nothing_is_ordered_without_a_fence_or_while_busy)
 {
     auto state = ready(0, 9);
-    on_wanted(state, "m", 2, at(0));
+    record_request(state, "m", 2, at(0));
     auto busy = engine(1, 0);
     busy.is_busy = true;
     EXPECT_EQ(first_order(state, busy, 0), -1);
-    on_order_answer(state, order_answer::old_fence, at(0));
+    on_order_response(state, order_response::stale_fence, at(0));
     EXPECT_FALSE(state.fence);
     EXPECT_EQ(first_order(state, engine(1, 0), 0), -1);
     EXPECT_FALSE(is_preparing(state, engine(1, 0), at(5'000)));
@@ -101,23 +101,23 @@
 TEST(rollout, gateways_are_told_before_the_order)
 {
     auto state = ready(0, 9);
-    on_wanted(state, "m", 2, at(1'000));
+    record_request(state, "m", 2, at(1'000));
     EXPECT_TRUE(is_preparing(state, engine(1, 0), at(1'000)));
     EXPECT_GE(first_order(state, engine(1, 0), 1'000),
-              1'000 + state.limits.notice.count());
+              1'000 + state.limits.notice_period.count());
     EXPECT_FALSE(is_preparing(state, engine(2, 1), at(3'000)));
 }
 
 TEST(rollout, loads_wait_for_long_calls_but_not_for_ever)
 {
     auto state = ready(0, 9);
-    on_runs(state, {11}, at(0));
-    on_wanted(state, "m", 2, at(1'000));
-    on_runs(state, {11, 12}, at(2'900));
+    update_running_calls(state, {11}, at(0));
+    record_request(state, "m", 2, at(1'000));
+    update_running_calls(state, {11, 12}, at(2'900));
     EXPECT_FALSE(is_preparing(state, engine(1, 0), at(2'900)));
     int const when = first_order(state, engine(1, 0), 1'000);
-    EXPECT_GE(when, 1'000 + state.limits.long_run_limit.count());
-    EXPECT_LE(when, 1'000 + state.limits.long_run_limit.count() + 500);
+    EXPECT_GE(when, 1'000 + state.limits.long_call_wait_limit.count());
+    EXPECT_LE(when, 1'000 + state.limits.long_call_wait_limit.count() + 500);
 }
 
 // hunt-0742-19: a restarted agent took its start for the time of the request
@@ -125,30 +125,31 @@
 TEST(rollout, a_wish_of_unknown_age_is_not_held_back)
 {
     auto state = ready(0, 9);
-    on_runs(state, {11}, at(0));
-    on_wanted(state, "m", 2, at(1'000), false);
+    update_running_calls(state, {11}, at(0));
+    record_request(state, "m", 2, at(1'000), false);
     EXPECT_LE(first_order(state, engine(1, 0), 1'000), 1'300);
 }
 
 TEST(rollout, calls_that_are_read_hold_an_order_back_briefly)
 {
     auto state = ready(0, 9);
-    on_wanted(state, "m", 2, at(0));
+    record_request(state, "m", 2, at(0));
     auto reading = engine(1, 0);
     reading.reading = 1;
     int const when = first_order(state, reading, 0);
-    EXPECT_GE(when, state.limits.settle_limit.count());
-    EXPECT_LE(when, state.limits.settle_limit.count() + 300);
+    EXPECT_GE(when, state.limits.queue_wait_limit.count());
+    EXPECT_LE(when, state.limits.queue_wait_limit.count() + 300);
 }
 
 TEST(rollout, the_time_of_the_load_is_told)
 {
     auto state = ready(4, 9);
     EXPECT_FALSE(load_due(state, engine(1, 0), at(0)));
-    on_wanted(state, "m", 2, at(1'000));
+    record_request(state, "m", 2, at(1'000));
     auto const due = load_due(state, engine(1, 0), at(1'000));
     ASSERT_TRUE(due);
-    EXPECT_EQ(*due, state.limits.notice + 2 * state.limits.turn);
+    EXPECT_EQ(*due,
+              state.limits.notice_period + 2 * state.limits.group_interval);
     EXPECT_EQ(load_due(state, engine(1, 0), at(9'000)), microseconds{0});
 }
 
--- a/jujubestand/agent/weights.cpp
+++ b/jujubestand/agent/weights.cpp
@@ -13,78 +13,79 @@
 constexpr std::chrono::milliseconds order_timeout{1'000};
 /// A version first seen within this time after the first status request may
 /// have been requested long before this process started.
-constexpr std::chrono::milliseconds settled_after{3'000};
-constexpr std::chrono::milliseconds fence_retry_pause{400};
+constexpr std::chrono::milliseconds startup_period{3'000};
+constexpr std::chrono::milliseconds fence_retry_delay{400};
 
 constexpr char const* fence_topic = "jujubestand.fences";
 
 constexpr int ok = 200;
 
-order_answer answer_of(int status)
+order_response to_order_response(int status)
 {
     constexpr int accepted = 202;
     constexpr int conflict = 409;
     constexpr int old_fence = 412;
     if (status == ok || status == accepted)
-        return order_answer::accepted;
+        return order_response::accepted;
     if (status == conflict)
-        return order_answer::conflict;
+        return order_response::conflict;
     if (status == old_fence)
-        return order_answer::old_fence;
-    return status == 0 ? order_answer::none : order_answer::refused;
+        return order_response::stale_fence;
+    return status == 0 ? order_response::no_response : order_response::refused;
 }
 
-void on_order_end(agent_state& self, order const& given, int status)
+void on_order_end(agent_state& state, order const& given, int status)
 {
-    auto const answer = answer_of(status);
-    on_order_answer(self.weights, answer, mono_now());
-    self.log->write(
-        answer == order_answer::accepted ? event_number::order_given
-                                         : event_number::order_refused,
+    auto const answer = to_order_response(status);
+    on_order_response(state.weights, answer, mono_now());
+    state.log->write(
+        answer == order_response::accepted ? event_number::order_given
+                                           : event_number::order_refused,
         {},
         {{"model", given.model},
          {"version", static_cast<std::int64_t>(given.version)},
          {"fence", static_cast<std::int64_t>(given.fence)},
          {"expect", static_cast<std::int64_t>(given.orders_accepted)},
          {"status", status},
-         {"answer", to_name(order_answer_names, answer)}});
-    if (!self.weights.fence)
-        take_fence(self);
+         {"answer", to_name(order_response_names, answer)}});
+    if (!state.weights.fence)
+        acquire_fence(state);
 }
 
 } // namespace
 
 // The fencing token is derived from the offset of a record that this run of
 // the agent appends, so every later run gets a higher one.
-void take_fence(agent_state& self)
+void acquire_fence(agent_state& state)
 {
-    self.store->append(fence_topic, self.settings.name,
-                       [&self](platform::append_end const& end)
-                       {
-                           if (!end.offset)
-                           {
-                               self.fence_timer->start(fence_retry_pause);
-                               return;
-                           }
-                           self.weights.fence = *end.offset + 1;
-                           self.log->write(event_number::fence_taken, {},
-                                           {{"fence", static_cast<std::int64_t>(
-                                                          *end.offset + 1)}});
-                       });
+    state.store->append(
+        fence_topic, state.settings.name,
+        [&state](platform::append_end const& end)
+        {
+            if (!end.offset)
+            {
+                state.fence_timer->start(fence_retry_delay);
+                return;
+            }
+            state.weights.fence = *end.offset + 1;
+            state.log->write(
+                event_number::fence_taken, {},
+                {{"fence", static_cast<std::int64_t>(*end.offset + 1)}});
+        });
 }
 
-void take_wanted(agent_state& self, std::string const& model,
-                 std::uint64_t version, mono_time now)
+void on_requested_version(agent_state& state, std::string const& model,
+                          std::uint64_t version, mono_time now)
 {
-    bool const is_age_known =
-        self.first_asked_at && now - *self.first_asked_at > settled_after;
-    if (on_wanted(self.weights, model, version, now, is_age_known))
-        self.log->write(event_number::weights_wanted, {},
-                        {{"model", model},
-                         {"version", static_cast<std::int64_t>(version)}});
+    bool const is_age_known = state.first_request_at &&
+                              now - *state.first_request_at > startup_period;
+    if (record_request(state.weights, model, version, now, is_age_known))
+        state.log->write(event_number::weights_wanted, {},
+                         {{"model", model},
+                          {"version", static_cast<std::int64_t>(version)}});
 }
 
-void apply_records(agent_state& self, std::vector<follow::record> const& rows)
+void apply_records(agent_state& state, std::vector<follow::record> const& rows)
 {
     for (auto const& row : rows)
     {
@@ -95,24 +96,24 @@
         auto const wanted = platform::decode_weights(row.value, why);
         if (!wanted)
         {
-            self.log->write(event_number::record_rejected, {},
-                            {{"key", row.key}, {"why", to_text(why)}});
+            state.log->write(event_number::record_rejected, {},
+                             {{"key", row.key}, {"why", to_text(why)}});
             continue;
         }
-        take_wanted(self, wanted->model, wanted->version, mono_now());
+        on_requested_version(state, wanted->model, wanted->version, mono_now());
     }
 }
 
-void give_order(agent_state& self, order const& given)
+void send_order(agent_state& state, order const& given)
 {
     platform::weights_order order;
     order.model = given.model;
     order.version = given.version;
-    order.holder = self.settings.name;
+    order.holder = state.settings.name;
     order.fence = given.fence;
     order.orders_accepted = given.orders_accepted;
-    order.upstream = self.upstream;
-    auto request = platform::order_request(*self.settings.upstream, order);
+    order.upstream = state.upstream;
+    auto request = platform::order_request(*state.settings.upstream, order);
     request.timeout = order_timeout;
     auto const status = std::make_shared<int>(0);
     http1::call_events events;
@@ -121,11 +122,11 @@
         *status = head.status;
     };
     events.on_body = [](std::string_view) {};
-    events.on_end = [&self, given, status](http1::call_end const&)
+    events.on_end = [&state, given, status](http1::call_end const&)
     {
-        on_order_end(self, given, *status);
+        on_order_end(state, given, *status);
     };
-    self.calls->start(std::move(request), std::move(events));
+    state.http_client->start(std::move(request), std::move(events));
 }
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/weights.hpp
+++ b/jujubestand/agent/weights.hpp
@@ -10,17 +10,17 @@
 {
 
 /// \brief Acquires the fencing token for this agent's orders from the store.
-void take_fence(agent_state& self);
+void acquire_fence(agent_state& state);
 
 /// \brief Handles a requested version, from a gateway or from the store.
-void take_wanted(agent_state& self, std::string const& model,
-                 std::uint64_t version, mono_time now);
+void on_requested_version(agent_state& state, std::string const& model,
+                          std::uint64_t version, mono_time now);
 
 /// \brief Applies changed records of the operator's topic.
-void apply_records(agent_state& self, std::vector<follow::record> const& rows);
+void apply_records(agent_state& state, std::vector<follow::record> const& rows);
 
 /// \brief Orders the engine to load weights.
-void give_order(agent_state& self, order const& given);
+void send_order(agent_state& state, order const& given);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/follow/follower.cpp
+++ b/jujubestand/follow/follower.cpp
@@ -11,20 +11,20 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds pause_after_failure_first{100};
-constexpr std::chrono::milliseconds pause_after_failure_limit{800};
+constexpr std::chrono::milliseconds retry_delay_first{100};
+constexpr std::chrono::milliseconds retry_delay_limit{800};
 constexpr std::chrono::milliseconds refresh_interval{400};
 
 } // namespace
 
 struct follower::state
 {
-    platform::store& from;
-    reading how;
+    platform::store& store_client;
+    reading options;
     follower_events events;
-    topic known;
-    listing gathered;
-    mono_time asked_at{};
+    topic copy;
+    listing partial_list;
+    mono_time requested_at{};
     mono_time refreshed_at{};
     http1::call_id call;
     /// The store deleted records before they were read. Records from peers
@@ -32,64 +32,66 @@
     bool needs_list = false;
     bool is_active = false;
     bool is_reading = false;
-    std::chrono::milliseconds failure_pause{0};
-    loop::timer next;
+    std::chrono::milliseconds retry_delay{0};
+    loop::timer read_timer;
 
     state(event_base* base, platform::store& source, reading manner,
           follower_events told)
-        : from(source)
-        , how(std::move(manner))
+        : store_client(source)
+        , options(std::move(manner))
         , events(std::move(told))
-        , next(base,
-               [this]
-               {
-                   this->is_reading = false;
-                   if (this->is_active)
-                       this->step();
-               })
+        , read_timer(base,
+                     [this]
+                     {
+                         this->is_reading = false;
+                         if (this->is_active)
+                             this->start_read();
+                     })
     {
     }
 
-    void step();
+    void start_read();
     void read(std::chrono::milliseconds wait);
-    void list_part(std::string const& after);
+    void request_list_part(std::string const& after);
     void on_listed(platform::listing_end const& end);
     void on_read(platform::read_end const& end);
-    void tell(std::vector<record> const& changes);
-    void succeed();
-    void rest(std::chrono::milliseconds pause);
-    void fail(reason const& why);
+    void notify(std::vector<record> const& changes);
+    void on_success();
+    void schedule_read(std::chrono::milliseconds pause);
+    void on_failure(reason const& why);
 };
 
-void follower::state::step()
+void follower::state::start_read()
 {
-    this->asked_at = mono_now();
+    this->requested_at = mono_now();
     this->is_reading = true;
-    if (this->needs_list || !this->known.is_listed)
+    if (this->needs_list || !this->copy.is_listed)
     {
-        this->gathered = listing{};
-        this->list_part({});
+        this->partial_list = listing{};
+        this->request_list_part({});
         return;
     }
-    this->read(this->how.wait);
+    this->read(this->options.wait);
 }
 
 void follower::state::read(std::chrono::milliseconds wait)
 {
-    this->call = this->from.read(this->how.topic, this->known.next, wait,
-                                 [this](platform::read_end const& end)
-                                 {
-                                     this->on_read(end);
-                                 });
+    this->call =
+        this->store_client.read(this->options.topic, this->copy.next, wait,
+                                [this](platform::read_end const& end)
+                                {
+                                    this->on_read(end);
+                                });
 }
 
-void follower::state::list_part(std::string const& after)
+void follower::state::request_list_part(std::string const& after)
 {
-    this->call = this->from.list(this->how.topic, after,
-                                 [this](platform::listing_end const& end)
-                                 {
-                                     this->on_listed(end);
-                                 });
+    this->call =
+        this->store_client.list(this->options.topic, after,
+                                [this](platform::listing_end const& end)
+                                {
+                                    this->on_listed(end);
+                                });
 }
 
 // The parts of a list are not one snapshot. Reading resumes at the end offset
@@ -98,22 +100,23 @@
 {
     if (!end.part)
     {
-        this->fail(end.why);
+        this->on_failure(end.why);
         return;
     }
     auto const& rows = end.part->rows;
-    if (this->gathered.records.empty())
-        this->gathered.end = rows.end;
-    this->gathered.records.insert(this->gathered.records.end(),
-                                  rows.records.begin(), rows.records.end());
+    if (this->partial_list.records.empty())
+        this->partial_list.end = rows.end;
+    this->partial_list.records.insert(this->partial_list.records.end(),
+                                      rows.records.begin(), rows.records.end());
     if (end.part->has_more && !rows.records.empty())
     {
-        this->list_part(rows.records.back().key);
+        this->request_list_part(rows.records.back().key);
         return;
     }
     this->needs_list = false;
-    this->tell(on_listing(this->known, this->gathered, this->asked_at));
-    this->succeed();
+    this->notify(
+        on_listing(this->copy, this->partial_list, this->requested_at));
+    this->on_success();
 }
 
 void follower::state::on_read(platform::read_end const& end)
@@ -122,55 +125,55 @@
     {
         this->events.on_expired(end.why);
         this->needs_list = true;
-        this->step();
+        this->start_read();
         return;
     }
     if (!end.page)
     {
-        this->fail(end.why);
+        this->on_failure(end.why);
         return;
     }
-    this->tell(on_page(this->known, *end.page, this->asked_at));
-    this->succeed();
+    this->notify(on_page(this->copy, *end.page, this->requested_at));
+    this->on_success();
 }
 
-void follower::state::tell(std::vector<record> const& changes)
+void follower::state::notify(std::vector<record> const& changes)
 {
     if (!changes.empty())
         this->events.on_changes(changes);
 }
 
-void follower::state::succeed()
+void follower::state::on_success()
 {
     bool const was_failing =
-        std::exchange(this->failure_pause, std::chrono::milliseconds{0})
-            .count() > 0;
+        std::exchange(this->retry_delay, std::chrono::milliseconds{0}).count() >
+        0;
     if (was_failing)
         this->events.on_reachable();
-    this->rest(this->how.pause);
+    this->schedule_read(this->options.pause);
 }
 
-void follower::state::rest(std::chrono::milliseconds pause)
+void follower::state::schedule_read(std::chrono::milliseconds pause)
 {
     this->is_reading = this->is_active;
     if (this->is_active)
-        this->next.start(pause);
+        this->read_timer.start(pause);
 }
 
-void follower::state::fail(reason const& why)
+void follower::state::on_failure(reason const& why)
 {
-    bool const is_first = this->failure_pause.count() == 0;
-    this->failure_pause =
-        is_first ? pause_after_failure_first
-                 : std::min(this->failure_pause * 2, pause_after_failure_limit);
+    bool const is_first = this->retry_delay.count() == 0;
+    this->retry_delay =
+        is_first ? retry_delay_first
+                 : std::min(this->retry_delay * 2, retry_delay_limit);
     if (is_first)
         this->events.on_unreachable(why);
-    this->rest(this->failure_pause);
+    this->schedule_read(this->retry_delay);
 }
 
 follower::follower(event_base* base, platform::store& from, reading how,
                    follower_events events)
-    : self(std::make_unique<state>(base, from, std::move(how),
+    : impl(std::make_unique<state>(base, from, std::move(how),
                                    std::move(events)))
 {
 }
@@ -179,45 +182,45 @@
 
 void follower::set_active(bool is_active)
 {
-    state& mine = *this->self;
-    if (mine.is_active == is_active)
+    state& reader = *this->impl;
+    if (reader.is_active == is_active)
         return;
-    mine.is_active = is_active;
-    if (is_active && !mine.is_reading)
-        mine.step();
+    reader.is_active = is_active;
+    if (is_active && !reader.is_reading)
+        reader.start_read();
 }
 
 void follower::refresh()
 {
-    state& mine = *this->self;
+    state& reader = *this->impl;
     auto const now = mono_now();
-    if (now - mine.refreshed_at < refresh_interval)
+    if (now - reader.refreshed_at < refresh_interval)
         return;
-    mine.refreshed_at = now;
-    mine.from.cancel(mine.call);
-    mine.next.stop();
-    mine.asked_at = now;
-    mine.is_reading = true;
-    if (mine.known.is_listed && !mine.needs_list)
-        mine.read(std::chrono::milliseconds{0});
+    reader.refreshed_at = now;
+    reader.store_client.cancel(reader.call);
+    reader.read_timer.stop();
+    reader.requested_at = now;
+    reader.is_reading = true;
+    if (reader.copy.is_listed && !reader.needs_list)
+        reader.read(std::chrono::milliseconds{0});
     else
-        mine.step();
+        reader.start_read();
 }
 
 topic const& follower::known() const noexcept
 {
-    return this->self->known;
+    return this->impl->copy;
 }
 
 void follower::take(listing const& from, std::uint64_t since,
                     mono_time proven_at)
 {
-    this->self->tell(on_shared(this->self->known, from, since, proven_at));
+    this->impl->notify(on_shared(this->impl->copy, from, since, proven_at));
 }
 
 void follower::vouch(std::uint64_t end, mono_time proven_at)
 {
-    on_vouched(this->self->known, end, proven_at);
+    on_vouched(this->impl->copy, end, proven_at);
 }
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/follower.hpp
+++ b/jujubestand/follow/follower.hpp
@@ -74,7 +74,7 @@
 
 private:
     struct state;
-    std::unique_ptr<state> self;
+    std::unique_ptr<state> impl;
 };
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/lapses.cpp
+++ b/jujubestand/follow/lapses.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-bool may_be_lapse(lapses const& state, mono_time now)
+bool is_within_return_time(lapses const& state, mono_time now)
 {
     return state.away_at && now - *state.away_at < state.limits.return_time;
 }
@@ -30,7 +30,7 @@
 
 bool on_vanished(lapses& state, std::string const& key, mono_time now)
 {
-    if (!may_be_lapse(state, now))
+    if (!is_within_return_time(state, now))
         return true;
     state.vanished.insert(key);
     return false;
@@ -43,7 +43,7 @@
 
 std::vector<std::string> take_gone(lapses& state, mono_time now)
 {
-    if (state.vanished.empty() || may_be_lapse(state, now))
+    if (state.vanished.empty() || is_within_return_time(state, now))
         return {};
     std::vector<std::string> gone(state.vanished.begin(), state.vanished.end());
     state.vanished.clear();
--- a/jujubestand/follow/topic.cpp
+++ b/jujubestand/follow/topic.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-bool take(topic& state, record const& row)
+bool apply_record(topic& state, record const& row)
 {
     auto const known = state.newest.find(row.key);
     if (known != state.newest.end() && known->second.offset >= row.offset)
@@ -18,7 +18,7 @@
     return true;
 }
 
-void prove(topic& state, mono_time at)
+void confirm(topic& state, mono_time at)
 {
     state.proven_at = state.proven_at ? std::max(*state.proven_at, at) : at;
 }
@@ -55,14 +55,14 @@
     std::vector<record> changes;
     for (auto const& row : from.records)
     {
-        if (take(state, row))
+        if (apply_record(state, row))
             changes.push_back(row);
     }
     for (auto& row : remove_unlisted(state, from))
         changes.push_back(std::move(row));
     state.next = from.end;
     state.is_listed = true;
-    prove(state, asked_at);
+    confirm(state, asked_at);
     return changes;
 }
 
@@ -74,21 +74,21 @@
     std::vector<record> changes;
     for (auto const& row : page.records)
     {
-        if (take(state, row))
+        if (apply_record(state, row))
             changes.push_back(row);
         state.next = std::max(state.next, row.offset + 1);
     }
     // A page may end before the topic does; only the last page confirms that
     // the copy is current.
     if (state.next >= page.end)
-        prove(state, asked_at);
+        confirm(state, asked_at);
     return changes;
 }
 
 void on_vouched(topic& state, std::uint64_t end, mono_time proven_at)
 {
     if (state.is_listed && state.next >= end)
-        prove(state, proven_at);
+        confirm(state, proven_at);
 }
 
 std::size_t live_keys(topic const& state)
@@ -122,12 +122,12 @@
     std::vector<record> changes;
     for (auto const& row : from.records)
     {
-        if (take(state, row))
+        if (apply_record(state, row))
             changes.push_back(row);
     }
     state.next = from.end;
     state.is_listed = true;
-    prove(state, proven_at);
+    confirm(state, proven_at);
     return changes;
 }
 
--- a/jujubestand/status/cache_view.cpp
+++ b/jujubestand/status/cache_view.cpp
@@ -16,9 +16,9 @@
 /// Changes in one delta. A gateway gets deltas of many engines at once, which
 /// a low-bandwidth link must carry; its next requests get the remaining
 /// changes.
-constexpr std::size_t delta_limit = 64;
+constexpr std::size_t delta_entries_limit = 64;
 
-void forget_oldest_removal(cache_view& view)
+void discard_oldest_removal(cache_view& view)
 {
     auto const oldest = view.removals.front();
     view.removals.pop_front();
@@ -31,7 +31,7 @@
     view.changes.erase(found);
 }
 
-void change(cache_view& view, part_hash part, std::uint32_t tokens)
+void apply_change(cache_view& view, part_hash part, std::uint32_t tokens)
 {
     auto const known = view.parts.find(part);
     bool const is_known = known != view.parts.end();
@@ -46,7 +46,7 @@
         return;
     view.removals.push_back(view.generation);
     if (view.removals.size() > removals_limit)
-        forget_oldest_removal(view);
+        discard_oldest_removal(view);
 }
 
 } // namespace
@@ -71,7 +71,7 @@
     view.epoch = events.epoch;
     view.next = events.next;
     for (auto const& one : events.changes)
-        change(view, one.part, one.is_dropped ? 0 : one.tokens);
+        apply_change(view, one.part, one.is_dropped ? 0 : one.tokens);
     return !events.is_gap;
 }
 
@@ -81,7 +81,7 @@
     view.epoch = list.epoch;
     view.next = list.next;
     for (auto const& one : list.changes)
-        change(view, one.part, one.tokens);
+        apply_change(view, one.part, one.tokens);
 }
 
 // The horizon passes the generation of every copy, so each copy gets the whole
@@ -110,7 +110,7 @@
         // Nothing to remove from an empty copy.
         if (delta.is_whole && tokens == 0)
             continue;
-        if (delta.entries.size() == delta_limit)
+        if (delta.entries.size() == delta_entries_limit)
             return delta;
         delta.entries.push_back({at->second, tokens});
         delta.mark.generation = at->first;
