--- a/jujubestand/agent/engine.hpp
+++ b/jujubestand/agent/engine.hpp
@@ -3,15 +3,16 @@
 
 #include <jujubestand/agent/state.hpp>
 
-/// \brief What the agent learns from its engine.
+/// \brief Polls the engine for its report and its cache events.
 namespace jujubestand::agent
 {
 
-/// \brief Asks the engine for its report, unless a question is open.
-void ask_report(agent_state& self);
+/// \brief Requests the engine's report, unless a request is in flight.
+void request_report(agent_state& state);
 
-/// \brief Asks the engine for changes of its cache, and goes on doing so.
-void ask_cache_events(agent_state& self);
+/// \brief Starts polling the engine for changes of its cache; each response
+/// schedules the next request.
+void request_cache_events(agent_state& state);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/agent/state.hpp
+++ b/jujubestand/agent/state.hpp
@@ -16,32 +16,32 @@
 namespace jujubestand::agent
 {
 
-/// \brief One agent process.
+/// \brief State of an agent process.
 struct agent_state
 {
     event_base* base = nullptr;
     node::settings settings;
     logs::log* log = nullptr;
-    std::unique_ptr<http1::client> calls;
+    std::unique_ptr<http1::client> http_client;
     std::unique_ptr<platform::store> store;
     std::unique_ptr<follow::follower> operator_topic;
-    std::unique_ptr<loop::datagrams> questions;
-    std::unique_ptr<http1::server> records;
+    std::unique_ptr<loop::datagrams> status_socket;
+    std::unique_ptr<http1::server> records_server;
     std::optional<loop::timer> report_timer;
     std::optional<loop::timer> fence_timer;
     std::optional<status::engine_report> report;
-    mono_time report_asked_at{};
+    mono_time report_requested_at{};
     mono_time reported_at{};
-    bool is_reporting = false;
+    bool is_report_in_flight = false;
     bool is_reachable = false;
     unsigned report_failures = 0;
     rollout weights;
     std::string upstream;
     status::cache_view cache;
     std::optional<loop::timer> cache_timer;
-    askers gateways;
-    std::optional<mono_time> first_asked_at;
-    /// What gateways were told last of whether to send.
+    gateway_table gateways;
+    std::optional<mono_time> first_request_at;
+    /// Whether the engine was usable when gateways were last notified.
     bool was_usable = false;
 };
 
--- a/jujubestand/agent/weights.hpp
+++ b/jujubestand/agent/weights.hpp
@@ -5,22 +5,22 @@
 #include <string>
 #include <vector>
 
-/// \brief Which weights the engine is to load, and the orders to do so.
+/// \brief Requested versions of weights, and load orders to the engine.
 namespace jujubestand::agent
 {
 
-/// \brief Gets the number that this agent's orders bear, from the store.
-void take_fence(agent_state& self);
+/// \brief Acquires the fencing token for this agent's orders from the store.
+void acquire_fence(agent_state& state);
 
-/// \brief Somebody told which weights are wanted.
-void take_wanted(agent_state& self, std::string const& model,
-                 std::uint64_t version, mono_time now);
+/// \brief Handles a requested version, from a gateway or from the store.
+void on_requested_version(agent_state& state, std::string const& model,
+                          std::uint64_t version, mono_time now);
 
-/// \brief Records of the operator changed.
-void apply_records(agent_state& self, std::vector<follow::record> const& rows);
+/// \brief Applies changed records of the operator's topic.
+void apply_records(agent_state& state, std::vector<follow::record> const& rows);
 
 /// \brief Orders the engine to load weights.
-void give_order(agent_state& self, order const& given);
+void send_order(agent_state& state, order const& given);
 
 } // namespace jujubestand::agent
 
