--- a/jujubestand/agent/agent.cpp
+++ b/jujubestand/agent/agent.cpp
@@ -50,9 +50,9 @@
     };
     state.operator_topic = std::make_unique<follow::follower>(
         state.base, *state.store,
-        follow::reading{std::string(platform::names::operator_topic),
-                        std::chrono::milliseconds{0},
-                        std::chrono::milliseconds{0}},
+        follow::read_options{std::string(platform::names::operator_topic),
+                             std::chrono::milliseconds{0},
+                             std::chrono::milliseconds{0}},
         std::move(events));
     state.status_socket = std::make_unique<loop::datagrams>(
         state.base,
--- a/jujubestand/agent/answers.cpp
+++ b/jujubestand/agent/answers.cpp
@@ -21,19 +21,20 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-status::answer make_response(agent_state& state, status::question const& asked,
-                             mono_time now)
+status::status_response make_response(agent_state& state,
+                                      status::status_request const& asked,
+                                      mono_time now)
 {
-    status::answer answer;
-    answer.asked_at_us = asked.asked_at_us;
+    status::status_response answer;
+    answer.request_sent_at_us = asked.sent_at_us;
     answer.agent = state.settings.name;
     answer.is_engine_reachable = state.is_reachable;
     remove_stale(state.gateways, now);
     answer.gateways = hosts_if_changed(state.gateways, asked.gateways_hash);
     auto const& known = state.operator_topic->known();
     answer.operator_end = known.next;
-    if (auto const age = follow::age(known, now))
-        answer.proof_age_us = age->count();
+    if (auto const age = follow::staleness(known, now))
+        answer.staleness_us = age->count();
     if (!state.report)
         return answer;
     auto const& report = *state.report;
@@ -44,7 +45,7 @@
     answer.versions = report.versions;
     answer.queued = report.queued;
     answer.running = report.running;
-    answer.reading = report.reading;
+    answer.prefilling = report.prefilling;
     answer.memory_used = report.memory_used;
     answer.memory_total = report.memory_total;
     answer.cache = status::delta_since(state.cache, asked.cache);
@@ -55,26 +56,26 @@
 
 // Applies what the request says about the engine; gateways read it from the
 // store.
-void apply_request(agent_state& state, status::question const& asked,
+void apply_request(agent_state& state, status::status_request const& asked,
                    mono_time now)
 {
-    for (auto const& [model, version] : asked.wanted)
+    for (auto const& [model, version] : asked.requested_versions)
         on_requested_version(state, model, version, now);
     state.upstream = asked.upstream;
-    state.weights.pool_index = asked.place;
-    state.weights.pool_size = std::max(1U, asked.engines);
+    state.weights.pool_index = asked.pool_index;
+    state.weights.pool_size = std::max(1U, asked.pool_size);
 }
 
 // Reads the operator's topic if neither the gateway's nor the agent's copy was
 // confirmed recently.
-void refresh_if_stale(agent_state& state, status::question const& asked,
+void refresh_if_stale(agent_state& state, status::status_request const& asked,
                       mono_time now)
 {
     auto const& known = state.operator_topic->known();
-    auto const age = follow::age(known, now);
+    auto const age = follow::staleness(known, now);
     bool const lacks_proof =
-        (asked.proof_age_us < 0 ||
-         microseconds{asked.proof_age_us} > staleness_limit) &&
+        (asked.staleness_us < 0 ||
+         microseconds{asked.staleness_us} > staleness_limit) &&
         (!age || *age > own_staleness_limit);
     if (lacks_proof)
         state.operator_topic->refresh();
@@ -92,7 +93,7 @@
     if (is_usable == state.was_usable)
         return;
     state.was_usable = is_usable;
-    status::question unasked;
+    status::status_request unasked;
     unasked.cache = {state.cache.generation, state.cache.generation};
     auto const bytes = status::to_datagram(make_response(state, unasked, now));
     for (auto const& [name, gateway] : state.gateways)
@@ -102,7 +103,7 @@
 void on_status_request(agent_state& state, address const& from,
                        std::string_view bytes)
 {
-    auto const asked = status::from_datagram<status::question>(bytes);
+    auto const asked = status::from_datagram<status::status_request>(bytes);
     if (!asked)
         return;
     auto const now = mono_now();
--- a/jujubestand/agent/engine.cpp
+++ b/jujubestand/agent/engine.cpp
@@ -59,7 +59,7 @@
     state.report = report;
     state.reported_at = state.report_requested_at;
     set_reachable(state, true, {});
-    update_running_calls(state.weights, report->runs, mono_now());
+    update_running_calls(state.weights, report->running_ids, mono_now());
     if (auto const due = next_order(state.weights, *report, mono_now()))
         send_order(state, *due);
 }
--- a/jujubestand/agent/rollout.cpp
+++ b/jujubestand/agent/rollout.cpp
@@ -64,7 +64,7 @@
 bool is_waiting_for_queue(rollout const& state, requested_version const& want,
                           status::engine_report const& report, mono_time now)
 {
-    return report.queued + report.reading > 0 &&
+    return report.queued + report.prefilling > 0 &&
            now < want.notice_at + state.limits.queue_wait_limit;
 }
 
--- a/jujubestand/agent/test/rollout_test.cpp
+++ b/jujubestand/agent/test/rollout_test.cpp
@@ -135,7 +135,7 @@
     auto state = ready(0, 9);
     record_request(state, "m", 2, at(0));
     auto reading = engine(1, 0);
-    reading.reading = 1;
+    reading.prefilling = 1;
     int const when = first_order(state, reading, 0);
     EXPECT_GE(when, state.limits.queue_wait_limit.count());
     EXPECT_LE(when, state.limits.queue_wait_limit.count() + 300);
--- a/jujubestand/dispatch/choice.cpp
+++ b/jujubestand/dispatch/choice.cpp
@@ -136,9 +136,9 @@
                        send_tally const& in_flight)
 {
     constexpr double usual_correlation = 0.25;
-    double const reported =
-        target.load ? target.load->report.reading + target.load->report.queued
-                    : 0.0;
+    double const reported = target.load ? target.load->report.prefilling +
+                                              target.load->report.queued
+                                        : 0.0;
     double const correlation =
         dispatcher.waiting.empty() ? usual_correlation : 1.0;
     double const other_gateways = dispatcher.gateways - 1;
--- a/jujubestand/follow/follower.cpp
+++ b/jujubestand/follow/follower.cpp
@@ -20,7 +20,7 @@
 struct follower::state
 {
     platform::store& store_client;
-    reading options;
+    read_options options;
     follower_events events;
     topic copy;
     listing partial_list;
@@ -35,7 +35,7 @@
     std::chrono::milliseconds retry_delay{0};
     loop::timer read_timer;
 
-    state(event_base* base, platform::store& source, reading manner,
+    state(event_base* base, platform::store& source, read_options manner,
           follower_events told)
         : store_client(source)
         , options(std::move(manner))
@@ -171,7 +171,7 @@
     this->schedule_read(this->retry_delay);
 }
 
-follower::follower(event_base* base, platform::store& from, reading how,
+follower::follower(event_base* base, platform::store& from, read_options how,
                    follower_events events)
     : impl(std::make_unique<state>(base, from, std::move(how),
                                    std::move(events)))
@@ -212,15 +212,16 @@
     return this->impl->copy;
 }
 
-void follower::take(listing const& from, std::uint64_t since,
-                    mono_time proven_at)
+void follower::apply(listing const& from, std::uint64_t since,
+                     mono_time proven_at)
 {
-    this->impl->notify(on_shared(this->impl->copy, from, since, proven_at));
+    this->impl->notify(
+        on_peer_records(this->impl->copy, from, since, proven_at));
 }
 
-void follower::vouch(std::uint64_t end, mono_time proven_at)
+void follower::confirm(std::uint64_t end, mono_time proven_at)
 {
-    on_vouched(this->impl->copy, end, proven_at);
+    on_confirmation(this->impl->copy, end, proven_at);
 }
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/follower.hpp
+++ b/jujubestand/follow/follower.hpp
@@ -20,7 +20,7 @@
 {
 
 /// \brief Topic of a follower, and timing of its reads.
-struct reading
+struct read_options
 {
     std::string topic;
     /// Long-poll time: how long the store may wait for a record before it
@@ -47,7 +47,7 @@
 class follower
 {
 public:
-    follower(event_base* base, platform::store& from, reading how,
+    follower(event_base* base, platform::store& from, read_options how,
              follower_events events);
     ~follower();
     follower(follower const&) = delete;
@@ -65,12 +65,13 @@
 
     [[nodiscard]] topic const& known() const noexcept;
 
-    /// \brief Applies records from another process; see `follow::on_shared`.
-    void take(listing const& from, std::uint64_t since, mono_time proven_at);
+    /// \brief Applies records from another process; see
+    /// `follow::on_peer_records`.
+    void apply(listing const& from, std::uint64_t since, mono_time proven_at);
 
     /// \brief Applies a confirmation from another process; see
-    /// `follow::on_vouched`.
-    void vouch(std::uint64_t end, mono_time proven_at);
+    /// `follow::on_confirmation`.
+    void confirm(std::uint64_t end, mono_time proven_at);
 
 private:
     struct state;
--- a/jujubestand/follow/lapses.cpp
+++ b/jujubestand/follow/lapses.cpp
@@ -8,45 +8,49 @@
 
 bool is_within_return_time(lapses const& state, mono_time now)
 {
-    return state.away_at && now - *state.away_at < state.limits.return_time;
+    return state.outage_seen_at &&
+           now - *state.outage_seen_at < state.limits.return_time;
 }
 
 } // namespace
 
 void on_store_answer(lapses& state, mono_time now)
 {
-    if (state.answered_at && now - *state.answered_at > state.limits.outage_min)
-        state.away_at = now;
-    state.answered_at = now;
+    if (state.last_response_at &&
+        now - *state.last_response_at > state.limits.outage_min)
+        state.outage_seen_at = now;
+    state.last_response_at = now;
 }
 
 void on_store_failure(lapses& state, mono_time now)
 {
-    bool const is_long = !state.answered_at ||
-                         now - *state.answered_at > state.limits.outage_min;
+    bool const is_long =
+        !state.last_response_at ||
+        now - *state.last_response_at > state.limits.outage_min;
     if (is_long)
-        state.away_at = now;
+        state.outage_seen_at = now;
 }
 
-bool on_vanished(lapses& state, std::string const& key, mono_time now)
+bool on_removed(lapses& state, std::string const& key, mono_time now)
 {
     if (!is_within_return_time(state, now))
         return true;
-    state.vanished.insert(key);
+    state.pending_removals.insert(key);
     return false;
 }
 
 void on_present(lapses& state, std::string const& key)
 {
-    state.vanished.erase(key);
+    state.pending_removals.erase(key);
 }
 
-std::vector<std::string> take_gone(lapses& state, mono_time now)
+std::vector<std::string> take_expired(lapses& state, mono_time now)
 {
-    if (state.vanished.empty() || is_within_return_time(state, now))
+    if (state.pending_removals.empty() || is_within_return_time(state, now))
         return {};
-    std::vector<std::string> gone(state.vanished.begin(), state.vanished.end());
-    state.vanished.clear();
+    std::vector<std::string> gone(state.pending_removals.begin(),
+                                  state.pending_removals.end());
+    state.pending_removals.clear();
     return gone;
 }
 
--- a/jujubestand/follow/lapses.hpp
+++ b/jujubestand/follow/lapses.hpp
@@ -27,11 +27,11 @@
 struct lapses
 {
     lapse_options limits;
-    std::set<std::string> vanished;
+    std::set<std::string> pending_removals;
     /// Time of the store's last response.
-    std::optional<mono_time> answered_at;
+    std::optional<mono_time> last_response_at;
     /// Latest time at which an outage longer than `outage_min` was seen.
-    std::optional<mono_time> away_at;
+    std::optional<mono_time> outage_seen_at;
 };
 
 /// \brief Handles a response of the store.
@@ -42,15 +42,16 @@
 
 /// \brief Handles the removal of a record.
 /// \returns whether its owner is gone; if false, the record may come back
-[[nodiscard]] bool on_vanished(lapses& state, std::string const& key,
-                               mono_time now);
+[[nodiscard]] bool on_removed(lapses& state, std::string const& key,
+                              mono_time now);
 
 /// \brief Handles a record that is present.
 void on_present(lapses& state, std::string const& key);
 
 /// \brief Returns, and stops tracking, the keys of the records that did not
 /// come back in time; their owners are gone.
-[[nodiscard]] std::vector<std::string> take_gone(lapses& state, mono_time now);
+[[nodiscard]] std::vector<std::string> take_expired(lapses& state,
+                                                    mono_time now);
 
 } // namespace jujubestand::follow
 
--- a/jujubestand/follow/test/follower_test.cpp
+++ b/jujubestand/follow/test/follower_test.cpp
@@ -55,7 +55,7 @@
             return;
         }
         ++reads;
-        made->take({{}, 6}, 5, mono_now());
+        made->apply({{}, 6}, 5, mono_now());
         store_server->respond(id, 410, {}, R"({"first":8})");
     };
     served.on_gone = [](http1::exchange_id) {};
@@ -75,8 +75,8 @@
     events.on_reachable = [] {};
     events.on_expired = [](reason const&) {};
     made = std::make_unique<follower>(
-        base.get(), store, reading{"keyed.t", {}, std::chrono::milliseconds{1}},
-        events);
+        base.get(), store,
+        read_options{"keyed.t", {}, std::chrono::milliseconds{1}}, events);
     made->set_active(true);
     timeval const limit{5, 0};
     event_base_loopexit(base.get(), &limit);
--- a/jujubestand/follow/test/topic_test.cpp
+++ b/jujubestand/follow/test/topic_test.cpp
@@ -40,7 +40,7 @@
     auto other = listed();
     on_listing(reader, {{{"a", "1", 3}}, 9}, at(200));
     auto const told = changes_since(reader, other.next);
-    auto const changes = on_shared(other, told, other.next, at(200));
+    auto const changes = on_peer_records(other, told, other.next, at(200));
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes[0].key, "b");
     EXPECT_EQ(other.next, 9U);
@@ -53,7 +53,7 @@
     EXPECT_TRUE(on_listing(state, {{}, 4}, at(900)).empty());
     EXPECT_TRUE(on_page(state, {{{"a", "0", 1}}, 2}, at(900)).empty());
     EXPECT_EQ(live_keys(state), 2U);
-    EXPECT_EQ(age(state, at(150)), microseconds{50'000});
+    EXPECT_EQ(staleness(state, at(150)), microseconds{50'000});
 }
 
 TEST(topic, an_older_record_does_not_undo_a_newer_one)
@@ -67,34 +67,36 @@
 {
     auto state = listed();
     on_page(state, {{{"c", "1", 5}}, 9}, at(300));
-    EXPECT_EQ(state.proven_at, at(100));
+    EXPECT_EQ(state.current_as_of, at(100));
     on_page(state, {{{"d", "1", 6}, {"e", "1", 7}, {"f", "1", 8}}, 9}, at(400));
-    EXPECT_EQ(state.proven_at, at(400));
+    EXPECT_EQ(state.current_as_of, at(400));
 }
 
 TEST(topic, a_peer_vouches_only_for_what_is_known_here)
 {
     auto state = listed();
-    on_vouched(state, 6, at(500));
-    EXPECT_EQ(state.proven_at, at(100));
-    on_vouched(state, 5, at(500));
-    EXPECT_EQ(state.proven_at, at(500));
-    on_vouched(state, 5, at(50));
-    EXPECT_EQ(state.proven_at, at(500));
+    on_confirmation(state, 6, at(500));
+    EXPECT_EQ(state.current_as_of, at(100));
+    on_confirmation(state, 5, at(500));
+    EXPECT_EQ(state.current_as_of, at(500));
+    on_confirmation(state, 5, at(50));
+    EXPECT_EQ(state.current_as_of, at(500));
     topic unlisted;
-    on_vouched(unlisted, 0, at(500));
-    EXPECT_FALSE(age(unlisted, at(600)));
+    on_confirmation(unlisted, 0, at(500));
+    EXPECT_FALSE(staleness(unlisted, at(600)));
 }
 
 TEST(topic, shared_records_must_join_on)
 {
     auto state = listed();
-    EXPECT_TRUE(on_shared(state, {{{"c", "1", 8}}, 9}, 7, at(500)).empty());
+    EXPECT_TRUE(
+        on_peer_records(state, {{{"c", "1", 8}}, 9}, 7, at(500)).empty());
     EXPECT_EQ(state.next, 5U);
-    EXPECT_EQ(on_shared(state, {{{"c", "1", 8}}, 9}, 5, at(500)).size(), 1U);
+    EXPECT_EQ(on_peer_records(state, {{{"c", "1", 8}}, 9}, 5, at(500)).size(),
+              1U);
     EXPECT_EQ(state.next, 9U);
     topic unlisted;
-    EXPECT_TRUE(on_shared(unlisted, {{}, 9}, 5, at(500)).empty());
+    EXPECT_TRUE(on_peer_records(unlisted, {{}, 9}, 5, at(500)).empty());
     EXPECT_FALSE(unlisted.is_listed);
 }
 
@@ -103,7 +105,7 @@
     lapses state;
     on_store_answer(state, at(100));
     on_store_answer(state, at(600));
-    EXPECT_TRUE(on_vanished(state, "a", at(700)));
+    EXPECT_TRUE(on_removed(state, "a", at(700)));
 }
 
 TEST(lapses, a_record_that_vanishes_in_an_outage_may_come_back)
@@ -112,12 +114,12 @@
     on_store_answer(state, at(0));
     on_store_failure(state, at(3'000));
     on_store_answer(state, at(3'600));
-    EXPECT_FALSE(on_vanished(state, "a", at(3'700)));
-    EXPECT_FALSE(on_vanished(state, "b", at(3'700)));
-    EXPECT_TRUE(take_gone(state, at(5'000)).empty());
+    EXPECT_FALSE(on_removed(state, "a", at(3'700)));
+    EXPECT_FALSE(on_removed(state, "b", at(3'700)));
+    EXPECT_TRUE(take_expired(state, at(5'000)).empty());
     on_present(state, "a");
-    EXPECT_EQ(take_gone(state, at(5'800)), std::vector<std::string>{"b"});
-    EXPECT_TRUE(take_gone(state, at(9'000)).empty());
+    EXPECT_EQ(take_expired(state, at(5'800)), std::vector<std::string>{"b"});
+    EXPECT_TRUE(take_expired(state, at(9'000)).empty());
 }
 
 TEST(lapses, nothing_is_gone_while_the_store_is_away)
@@ -125,9 +127,9 @@
     lapses state;
     on_store_answer(state, at(0));
     on_store_failure(state, at(2'000));
-    EXPECT_FALSE(on_vanished(state, "a", at(2'100)));
+    EXPECT_FALSE(on_removed(state, "a", at(2'100)));
     on_store_failure(state, at(9'000));
-    EXPECT_TRUE(take_gone(state, at(9'100)).empty());
+    EXPECT_TRUE(take_expired(state, at(9'100)).empty());
 }
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/topic.cpp
+++ b/jujubestand/follow/topic.cpp
@@ -20,7 +20,8 @@
 
 void confirm(topic& state, mono_time at)
 {
-    state.proven_at = state.proven_at ? std::max(*state.proven_at, at) : at;
+    state.current_as_of =
+        state.current_as_of ? std::max(*state.current_as_of, at) : at;
 }
 
 // Removes the keys that are not in the list and were not written after it was
@@ -85,7 +86,7 @@
     return changes;
 }
 
-void on_vouched(topic& state, std::uint64_t end, mono_time proven_at)
+void on_confirmation(topic& state, std::uint64_t end, mono_time proven_at)
 {
     if (state.is_listed && state.next >= end)
         confirm(state, proven_at);
@@ -113,8 +114,8 @@
     return result;
 }
 
-std::vector<record> on_shared(topic& state, listing const& from,
-                              std::uint64_t since, mono_time proven_at)
+std::vector<record> on_peer_records(topic& state, listing const& from,
+                                    std::uint64_t since, mono_time proven_at)
 {
     bool const has_gap = since > state.next || (since > 0 && !state.is_listed);
     if (has_gap || from.end < state.next)
@@ -131,11 +132,11 @@
     return changes;
 }
 
-std::optional<microseconds> age(topic const& state, mono_time now)
+std::optional<microseconds> staleness(topic const& state, mono_time now)
 {
-    if (!state.proven_at)
+    if (!state.current_as_of)
         return std::nullopt;
-    return now - *state.proven_at;
+    return now - *state.current_as_of;
 }
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/topic.hpp
+++ b/jujubestand/follow/topic.hpp
@@ -52,7 +52,7 @@
     bool is_listed = false;
     /// The copy includes everything written before this time; empty if
     /// unknown.
-    std::optional<mono_time> proven_at;
+    std::optional<mono_time> current_as_of;
 };
 
 /// \brief Applies a list of all keys.
@@ -71,7 +71,7 @@
 
 /// \brief Applies another process's confirmation that at `proven_at`, by the
 /// local clock, no record existed from `end` on.
-void on_vouched(topic& state, std::uint64_t end, mono_time proven_at);
+void on_confirmation(topic& state, std::uint64_t end, mono_time proven_at);
 
 /// \brief Number of keys without the removed ones.
 [[nodiscard]] std::size_t live_keys(topic const& state);
@@ -82,13 +82,13 @@
 
 /// \brief Applies the result of `changes_since` of another process.
 /// \param since requested offset; a list that leaves a gap is ignored
-std::vector<record> on_shared(topic& state, listing const& from,
-                              std::uint64_t since, mono_time proven_at);
+std::vector<record> on_peer_records(topic& state, listing const& from,
+                                    std::uint64_t since, mono_time proven_at);
 
 /// \brief Upper bound of the copy's staleness; empty if it was never
 /// confirmed.
-[[nodiscard]] std::optional<microseconds> age(topic const& state,
-                                              mono_time now);
+[[nodiscard]] std::optional<microseconds> staleness(topic const& state,
+                                                    mono_time now);
 
 } // namespace jujubestand::follow
 
--- a/jujubestand/gateway/agents.cpp
+++ b/jujubestand/gateway/agents.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-dispatch::engine_load to_load(status::answer const& from, mono_time now)
+dispatch::engine_load to_load(status::status_response const& from,
+                              mono_time now)
 {
     dispatch::engine_load load;
     load.reported_at = now - std::chrono::milliseconds{from.report_age_ms};
@@ -25,32 +26,32 @@
     load.report.versions = from.versions;
     load.report.queued = from.queued;
     load.report.running = from.running;
-    load.report.reading = from.reading;
+    load.report.prefilling = from.prefilling;
     load.report.memory_used = from.memory_used;
     load.report.memory_total = from.memory_total;
     return load;
 }
 
 void apply_proof(gateway_state& state, std::string const& host,
-                 status::answer const& from)
+                 status::status_response const& from)
 {
-    if (from.proof_age_us < 0 || from.asked_at_us == 0)
+    if (from.staleness_us < 0 || from.request_sent_at_us == 0)
         return;
     auto const proven_at =
-        mono_time{microseconds{from.asked_at_us - from.proof_age_us}};
+        mono_time{microseconds{from.request_sent_at_us - from.staleness_us}};
     auto const& known = state.operator_topic->known();
     if (!known.is_listed || from.operator_end > known.next)
         fetch_records(state, host, *state.operator_topic, operator_records_path,
                       known.is_listed ? known.next : 0, proven_at);
     else
-        state.operator_topic->vouch(from.operator_end, proven_at);
+        state.operator_topic->confirm(from.operator_end, proven_at);
 }
 
 /// Data on an engine that is sent to its agent.
 struct engine_place
 {
     std::string id;
-    status::cache_mark cache;
+    status::cache_position cache;
     std::uint32_t place = 0;
     std::uint32_t engines = 1;
 };
@@ -68,7 +69,7 @@
             dispatch::find_by_host(state.dispatch, host) != &known_upstream)
             continue;
         auto& count = pools[known_upstream.record.pool];
-        hosts[host] = {id, known_upstream.cache.mark, count, 1};
+        hosts[host] = {id, known_upstream.cache.position, count, 1};
         if (!known_upstream.record.is_leaving)
             ++count;
     }
@@ -85,15 +86,15 @@
 
 void query_agents(gateway_state& state)
 {
-    status::question question;
+    status::status_request question;
     auto const now = mono_now();
     auto const& known = state.operator_topic->known();
-    question.asked_at_us = to_us(now);
+    question.sent_at_us = to_us(now);
     question.operator_end = known.next;
     for (auto const& [model, wanted] : state.dispatch.weights)
-        question.wanted[model] = wanted.version;
-    if (auto const age = follow::age(known, now))
-        question.proof_age_us = age->count();
+        question.requested_versions[model] = wanted.version;
+    if (auto const age = follow::staleness(known, now))
+        question.staleness_us = age->count();
     question.gateway = state.settings.name;
     question.link_mbps = state.settings.link_mbps;
     question.gateways_hash = status::hash_of(state.gateway_hosts);
@@ -103,8 +104,8 @@
             continue;
         question.cache = engine.cache;
         question.upstream = engine.id;
-        question.place = engine.place;
-        question.engines = engine.engines;
+        question.pool_index = engine.place;
+        question.pool_size = engine.engines;
         state.datagrams->send(address{host, state.settings.internal_port},
                               status::to_datagram(question));
     }
@@ -113,11 +114,11 @@
 void on_agent_datagram(gateway_state& state, address const& from,
                        std::string_view bytes)
 {
-    auto const answer = status::from_datagram<status::answer>(bytes);
+    auto const answer = status::from_datagram<status::status_response>(bytes);
     if (!answer)
         return;
     auto const now = mono_now();
-    if (answer->asked_at_us != 0)
+    if (answer->request_sent_at_us != 0)
         on_query_answered(state.status_queries, from.host);
     auto const* const known_upstream =
         dispatch::find_by_host(state.dispatch, from.host);
--- a/jujubestand/gateway/beliefs.cpp
+++ b/jujubestand/gateway/beliefs.cpp
@@ -160,20 +160,20 @@
     {
         if (!row.value.empty())
             apply_upstream(state, row);
-        else if (follow::on_vanished(state.lapses, row.key, mono_now()))
+        else if (follow::on_removed(state.lapses, row.key, mono_now()))
             remove_upstream(state, row.key);
     }
 }
 
 void remove_lapsed_upstreams(gateway_state& state)
 {
-    for (auto const& id : follow::take_gone(state.lapses, mono_now()))
+    for (auto const& id : follow::take_expired(state.lapses, mono_now()))
         remove_upstream(state, id);
 }
 
 bool check_freshness(gateway_state& state, mono_time now)
 {
-    auto const age = follow::age(state.operator_topic->known(), now);
+    auto const age = follow::staleness(state.operator_topic->known(), now);
     bool const is_fresh =
         age && *age < state.settings.limits.key_removal - freshness_margin;
     if (is_fresh != state.is_fresh)
--- a/jujubestand/gateway/calls.cpp
+++ b/jujubestand/gateway/calls.cpp
@@ -55,7 +55,7 @@
 problem unknown_or_stale(gateway_state const& state, problem const& error,
                          mono_time now)
 {
-    auto const age = follow::age(state.operator_topic->known(), now);
+    auto const age = follow::staleness(state.operator_topic->known(), now);
     return age && *age <= unknown_age_limit ? error : not_fresh();
 }
 
--- a/jujubestand/gateway/gateway.cpp
+++ b/jujubestand/gateway/gateway.cpp
@@ -70,13 +70,14 @@
                                                     state.settings.store);
     state.operator_topic = std::make_unique<follow::follower>(
         state.base, *state.store,
-        follow::reading{std::string(platform::names::operator_topic),
-                        operator_poll_timeout, std::chrono::milliseconds{0}},
+        follow::read_options{std::string(platform::names::operator_topic),
+                             operator_poll_timeout,
+                             std::chrono::milliseconds{0}},
         follower_events_of(state, "operator", apply_operator_records));
     state.upstream_topic = std::make_unique<follow::follower>(
         state.base, *state.store,
-        follow::reading{std::string(platform::names::upstream_topic),
-                        std::chrono::milliseconds{0}, upstream_pause},
+        follow::read_options{std::string(platform::names::upstream_topic),
+                             std::chrono::milliseconds{0}, upstream_pause},
         follower_events_of(state, "upstreams", apply_upstream_records));
     state.datagrams = std::make_unique<loop::datagrams>(
         state.base,
@@ -143,7 +144,7 @@
 void on_tick(gateway_state& state)
 {
     auto const now = mono_now();
-    auto const age = follow::age(state.upstream_topic->known(), now);
+    auto const age = follow::staleness(state.upstream_topic->known(), now);
     if (age && *age < state.lapses.limits.outage_min)
         follow::on_store_answer(state.lapses, now);
     else
--- a/jujubestand/gateway/part_stores.cpp
+++ b/jujubestand/gateway/part_stores.cpp
@@ -22,8 +22,8 @@
         if (to_text(store.where) != name)
             continue;
         store.is_alive = watched.is_reachable;
-        status::on_delta(store.cache,
-                         status::delta_since(watched.cache, store.cache.mark));
+        status::on_delta(store.cache, status::delta_since(
+                                          watched.cache, store.cache.position));
     }
 }
 
--- a/jujubestand/gateway/peers.cpp
+++ b/jujubestand/gateway/peers.cpp
@@ -43,29 +43,29 @@
 
 bool is_lagging(follow::follower const& topic, mono_time now)
 {
-    auto const age = follow::age(topic.known(), now);
+    auto const age = follow::staleness(topic.known(), now);
     return !age || *age > lag_limit;
 }
 
-status::topic_standing standing_of(follow::follower const& topic, mono_time now)
+status::topic_status standing_of(follow::follower const& topic, mono_time now)
 {
-    status::topic_standing result;
+    status::topic_status result;
     result.end = topic.known().next;
     result.live_keys = follow::live_keys(topic.known());
-    if (auto const age = follow::age(topic.known(), now))
-        result.proof_age_us = age->count();
+    if (auto const age = follow::staleness(topic.known(), now))
+        result.staleness_us = age->count();
     return result;
 }
 
 void apply_standing(gateway_state& state, std::string const& host,
                     follow::follower& topic, char const* path,
-                    status::topic_standing const& standing,
+                    status::topic_status const& standing,
                     std::int64_t asked_at_us)
 {
-    if (standing.proof_age_us < 0)
+    if (standing.staleness_us < 0)
         return;
     mono_time const proven_at{
-        microseconds{asked_at_us - standing.proof_age_us}};
+        microseconds{asked_at_us - standing.staleness_us}};
     auto const& known = topic.known();
     bool const lacks_removals = standing.end == known.next &&
                                 standing.live_keys != follow::live_keys(known);
@@ -75,11 +75,11 @@
         fetch_records(state, host, topic, path,
                       known.is_listed ? known.next : 0, proven_at);
     else
-        topic.vouch(standing.end, proven_at);
+        topic.confirm(standing.end, proven_at);
 }
 
 void apply_reported_stores(gateway_state& state, std::string const& host,
-                           status::peer_answer const& from)
+                           status::peer_response const& from)
 {
     if (is_reader(state) || host != state.part_store_reader.host)
         return;
@@ -94,21 +94,21 @@
     }
 }
 
-std::map<std::string, status::cache_mark>
+std::map<std::string, status::cache_position>
 known_stores(gateway_state const& state)
 {
-    std::map<std::string, status::cache_mark> known;
+    std::map<std::string, status::cache_position> known;
     for (auto const& store : state.dispatch.stores)
-        known[to_text(store.where)] = store.cache.mark;
+        known[to_text(store.where)] = store.cache.position;
     return known;
 }
 
 void on_peer_query(gateway_state& state, address const& from,
-                   status::peer_question const& peer_query)
+                   status::peer_request const& peer_query)
 {
     auto const now = mono_now();
-    status::peer_answer answer;
-    answer.asked_at_us = peer_query.asked_at_us;
+    status::peer_response answer;
+    answer.request_sent_at_us = peer_query.sent_at_us;
     answer.operators = standing_of(*state.operator_topic, now);
     answer.upstreams = standing_of(*state.upstream_topic, now);
     for (auto const& [where, known] : peer_query.stores)
@@ -128,8 +128,8 @@
 {
     try
     {
-        topic.take(bounded_unpack(bytes)->as<follow::listing>(), since,
-                   proven_at);
+        topic.apply(bounded_unpack(bytes)->as<follow::listing>(), since,
+                    proven_at);
     }
     catch (std::exception const& error)
     {
@@ -170,8 +170,8 @@
                                      is_lagging(*state.operator_topic, now));
     state.upstream_topic->set_active(reads ||
                                      is_lagging(*state.upstream_topic, now));
-    status::peer_question question;
-    question.asked_at_us = to_us(now);
+    status::peer_request question;
+    question.sent_at_us = to_us(now);
     if (reads)
         poll_part_stores(state, now);
     else
@@ -182,7 +182,7 @@
             !begin_query(state.status_queries, host, now))
             continue;
         question.stores = reads || host != state.part_store_reader.host
-                              ? std::map<std::string, status::cache_mark>{}
+                              ? std::map<std::string, status::cache_position>{}
                               : known_stores(state);
         state.datagrams->send(address{host, state.settings.internal_port},
                               status::to_datagram(question));
@@ -193,21 +193,21 @@
                       std::string_view bytes)
 {
     if (auto const peer_query =
-            status::from_datagram<status::peer_question>(bytes))
+            status::from_datagram<status::peer_request>(bytes))
     {
         on_peer_query(state, from, *peer_query);
         return;
     }
-    auto const answer = status::from_datagram<status::peer_answer>(bytes);
+    auto const answer = status::from_datagram<status::peer_response>(bytes);
     if (!answer)
         return;
     on_query_answered(state.status_queries, from.host);
     apply_standing(state, from.host, *state.operator_topic,
                    operator_records_path, answer->operators,
-                   answer->asked_at_us);
+                   answer->request_sent_at_us);
     apply_standing(state, from.host, *state.upstream_topic,
                    upstream_records_path, answer->upstreams,
-                   answer->asked_at_us);
+                   answer->request_sent_at_us);
     apply_reported_stores(state, from.host, *answer);
 }
 
--- a/jujubestand/status/cache_view.cpp
+++ b/jujubestand/status/cache_view.cpp
@@ -95,36 +95,36 @@
     view.horizon = view.generation;
 }
 
-cache_delta delta_since(cache_view const& view, cache_mark const& known)
+cache_delta delta_since(cache_view const& view, cache_position const& known)
 {
     cache_delta delta;
-    delta.is_whole = known.generation > view.generation ||
-                     std::max(known.base, known.generation) < view.horizon;
-    delta.after = delta.is_whole ? 0 : known.generation;
-    delta.mark.base = delta.is_whole ? view.generation : known.base;
-    delta.mark.generation = view.generation;
+    delta.is_full = known.generation > view.generation ||
+                    std::max(known.base, known.generation) < view.horizon;
+    delta.after = delta.is_full ? 0 : known.generation;
+    delta.position.base = delta.is_full ? view.generation : known.base;
+    delta.position.generation = view.generation;
     for (auto at = view.changes.upper_bound(delta.after);
          at != view.changes.end(); ++at)
     {
         auto const tokens = view.parts.at(at->second).tokens;
         // Nothing to remove from an empty copy.
-        if (delta.is_whole && tokens == 0)
+        if (delta.is_full && tokens == 0)
             continue;
         if (delta.entries.size() == delta_entries_limit)
             return delta;
         delta.entries.push_back({at->second, tokens});
-        delta.mark.generation = at->first;
+        delta.position.generation = at->first;
     }
-    delta.mark.generation = view.generation;
+    delta.position.generation = view.generation;
     return delta;
 }
 
 void on_delta(cache_copy& copy, cache_delta const& delta)
 {
-    if (delta.is_whole)
+    if (delta.is_full)
         copy.parts.clear();
-    else if (delta.after != copy.mark.generation ||
-             delta.mark.base != copy.mark.base)
+    else if (delta.after != copy.position.generation ||
+             delta.position.base != copy.position.base)
         return;
     for (auto const& entry : delta.entries)
     {
@@ -133,7 +133,7 @@
         else
             copy.parts[entry.part] = entry.tokens;
     }
-    copy.mark = delta.mark;
+    copy.position = delta.position;
 }
 
 } // namespace jujubestand::status
--- a/jujubestand/status/cache_view.hpp
+++ b/jujubestand/status/cache_view.hpp
@@ -26,7 +26,7 @@
 };
 
 /// \brief Position of a gateway's copy in the changes of a view.
-struct cache_mark
+struct cache_position
 {
     /// The copy includes the changes up to this one.
     std::uint64_t generation = 0;
@@ -34,7 +34,7 @@
     /// it don't concern the copy.
     std::uint64_t base = 0;
 
-    bool operator==(cache_mark const&) const = default;
+    bool operator==(cache_position const&) const = default;
 
     MSGPACK_DEFINE_ARRAY(generation, base)
 };
@@ -44,14 +44,14 @@
 struct cache_delta
 {
     /// Position of the copy once the entries are applied.
-    cache_mark mark;
+    cache_position position;
     /// Generation that the copy must have before the entries are applied.
     std::uint64_t after = 0;
     /// The copy must be cleared before the entries are applied.
-    bool is_whole = false;
+    bool is_full = false;
     std::vector<cache_entry> entries;
 
-    MSGPACK_DEFINE_ARRAY(mark, after, is_whole, entries)
+    MSGPACK_DEFINE_ARRAY(position, after, is_full, entries)
 };
 
 /// \brief Cached tokens of a part and the generation of its last change.
@@ -98,13 +98,13 @@
 /// \brief Changes after the position of a gateway's copy, as many as fit one
 /// datagram.
 [[nodiscard]] cache_delta delta_since(cache_view const& view,
-                                      cache_mark const& known);
+                                      cache_position const& known);
 
 /// \brief A gateway's copy of the view of one engine's cache.
 struct cache_copy
 {
     std::unordered_map<part_hash, std::uint32_t> parts;
-    cache_mark mark;
+    cache_position position;
 };
 
 /// \brief Applies a delta; one that doesn't continue at the copy's position is
--- a/jujubestand/status/engine_report.hpp
+++ b/jujubestand/status/engine_report.hpp
@@ -23,14 +23,14 @@
     /// Running calls.
     std::uint32_t running = 0;
     /// Running calls in prefill, without output so far.
-    std::uint32_t reading = 0;
+    std::uint32_t prefilling = 0;
     /// Hashes of the ids of the running calls.
-    std::vector<std::uint64_t> runs;
+    std::vector<std::uint64_t> running_ids;
     /// Memory in use by running calls, in tokens.
     std::uint64_t memory_used = 0;
     std::uint64_t memory_total = 0;
     /// Wall clock time of the engine's start, in ms; 0 if not reported.
-    std::uint64_t born_ms = 0;
+    std::uint64_t started_at_ms = 0;
 };
 
 } // namespace jujubestand::status
--- a/jujubestand/status/messages.cpp
+++ b/jujubestand/status/messages.cpp
@@ -22,7 +22,7 @@
     try
     {
         auto message = bounded_unpack(bytes.substr(1))->template as<Message>();
-        if (message.format == format_number)
+        if (message.format == format_version)
             return message;
     }
     catch (std::exception const&)
@@ -33,9 +33,9 @@
     return std::nullopt;
 }
 
-template std::optional<question> from_datagram(std::string_view);
-template std::optional<answer> from_datagram(std::string_view);
-template std::optional<peer_question> from_datagram(std::string_view);
-template std::optional<peer_answer> from_datagram(std::string_view);
+template std::optional<status_request> from_datagram(std::string_view);
+template std::optional<status_response> from_datagram(std::string_view);
+template std::optional<peer_request> from_datagram(std::string_view);
+template std::optional<peer_response> from_datagram(std::string_view);
 
 } // namespace jujubestand::status
--- a/jujubestand/status/messages.hpp
+++ b/jujubestand/status/messages.hpp
@@ -15,48 +15,48 @@
 
 /// \brief Version of the message format; messages of other versions are
 /// ignored.
-inline constexpr std::uint32_t format_number = 2;
+inline constexpr std::uint32_t format_version = 2;
 
 /// \brief Status request of a gateway to an agent.
-struct question
+struct status_request
 {
-    std::uint32_t format = format_number;
+    std::uint32_t format = format_version;
     /// Time of the request by the sender's clock; returned in the response.
-    std::int64_t asked_at_us = 0;
+    std::int64_t sent_at_us = 0;
     std::string gateway;
     /// End offset of the gateway's copy of the operator's topic.
     std::uint64_t operator_end = 0;
     /// Time since that copy was last confirmed to be current; -1: never.
-    std::int64_t proof_age_us = -1;
+    std::int64_t staleness_us = -1;
     /// Position of the gateway's copy of the engine's cache view.
-    cache_mark cache;
+    cache_position cache;
     /// Versions of weights that the operator requests, by model.
-    std::map<std::string, std::uint64_t> wanted;
+    std::map<std::string, std::uint64_t> requested_versions;
     /// Id under which the agent's engine is registered.
     std::string upstream;
     /// Index of that engine in its pool.
-    std::uint32_t place = 0;
+    std::uint32_t pool_index = 0;
     /// Engines in the pool.
-    std::uint32_t engines = 1;
+    std::uint32_t pool_size = 1;
     /// Bandwidth of the gateway's link, in Mbit/s; the gateways with the most
     /// bandwidth read the store.
     double link_mbps = 0;
     /// `hash_of` of the list of gateways that the sender has.
     std::uint64_t gateways_hash = 0;
 
-    MSGPACK_DEFINE_ARRAY(format, asked_at_us, gateway, operator_end,
-                         proof_age_us, cache, wanted, upstream, place, engines,
-                         link_mbps, gateways_hash)
+    MSGPACK_DEFINE_ARRAY(format, sent_at_us, gateway, operator_end,
+                         staleness_us, cache, requested_versions, upstream,
+                         pool_index, pool_size, link_mbps, gateways_hash)
 };
 
 /// \brief Status of an agent's engine and of the agent's copy of the operator's
 /// topic.
-struct answer
+struct status_response
 {
-    std::uint32_t format = format_number;
+    std::uint32_t format = format_version;
     /// Time of the request by the requesting gateway's clock; 0: sent without a
     /// request, so it doesn't confirm that any copy is current.
-    std::int64_t asked_at_us = 0;
+    std::int64_t request_sent_at_us = 0;
     std::string agent;
     bool is_engine_reachable = false;
     /// The engine is about to load weights, or is loading them.
@@ -67,7 +67,7 @@
     std::map<std::string, std::uint64_t> versions;
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
-    std::uint32_t reading = 0;
+    std::uint32_t prefilling = 0;
     std::uint64_t memory_used = 0;
     std::uint64_t memory_total = 0;
     /// Age of the engine's report.
@@ -75,34 +75,34 @@
     /// End offset of the agent's copy of the operator's topic.
     std::uint64_t operator_end = 0;
     /// Time since that copy was last confirmed to be current; -1: never.
-    std::int64_t proof_age_us = -1;
+    std::int64_t staleness_us = -1;
     /// IP addresses of the gateways with a recent request, those with the most
     /// bandwidth first; empty if the requesting gateway already has this list.
     std::vector<std::string> gateways;
     /// Changes of the engine's cache after the position in the request.
     cache_delta cache;
 
-    MSGPACK_DEFINE_ARRAY(format, asked_at_us, agent, is_engine_reachable,
+    MSGPACK_DEFINE_ARRAY(format, request_sent_at_us, agent, is_engine_reachable,
                          is_preparing, load_due_us, is_busy, versions, queued,
-                         running, reading, memory_used, memory_total,
-                         report_age_ms, operator_end, proof_age_us, gateways,
+                         running, prefilling, memory_used, memory_total,
+                         report_age_ms, operator_end, staleness_us, gateways,
                          cache)
 };
 
 /// \brief Request of a gateway to another one for the state of its copies.
-struct peer_question
+struct peer_request
 {
-    std::uint32_t format = format_number;
-    std::int64_t asked_at_us = 0;
+    std::uint32_t format = format_version;
+    std::int64_t sent_at_us = 0;
     /// Position of the sender's copy of each part store, by address; empty if
     /// the sender does not read part stores through this gateway.
-    std::map<std::string, cache_mark> stores;
+    std::map<std::string, cache_position> stores;
 
-    MSGPACK_DEFINE_ARRAY(format, asked_at_us, stores)
+    MSGPACK_DEFINE_ARRAY(format, sent_at_us, stores)
 };
 
 /// \brief Status of a part store, as a gateway sees it.
-struct store_standing
+struct part_store_status
 {
     bool is_alive = false;
     cache_delta cache;
@@ -111,29 +111,30 @@
 };
 
 /// \brief State of a gateway's copy of one topic of the store.
-struct topic_standing
+struct topic_status
 {
     std::uint64_t end = 0;
     /// Time since the copy was last confirmed to be current; -1: never.
-    std::int64_t proof_age_us = -1;
+    std::int64_t staleness_us = -1;
     /// Keys without the removed ones. Copies with the same end can differ in
     /// this: a list may remove keys and end where reading had stopped.
     std::uint64_t live_keys = 0;
 
-    MSGPACK_DEFINE_ARRAY(end, proof_age_us, live_keys)
+    MSGPACK_DEFINE_ARRAY(end, staleness_us, live_keys)
 };
 
-/// \brief Response of a gateway to a `peer_question`.
-struct peer_answer
+/// \brief Response of a gateway to a `peer_request`.
+struct peer_response
 {
-    std::uint32_t format = format_number;
-    std::int64_t asked_at_us = 0;
-    topic_standing operators;
-    topic_standing upstreams;
+    std::uint32_t format = format_version;
+    std::int64_t request_sent_at_us = 0;
+    topic_status operators;
+    topic_status upstreams;
     /// Part stores whose events the responding gateway reads, by address.
-    std::map<std::string, store_standing> stores;
+    std::map<std::string, part_store_status> stores;
 
-    MSGPACK_DEFINE_ARRAY(format, asked_at_us, operators, upstreams, stores)
+    MSGPACK_DEFINE_ARRAY(format, request_sent_at_us, operators, upstreams,
+                         stores)
 };
 
 /// \brief Hash of a list of gateways; depends on the order.
@@ -143,22 +144,24 @@
 /// \brief Kind of a message: the first byte of the datagram.
 enum class message_kind : char
 {
-    question = 'q',
-    answer = 'a',
-    peer_question = 'p',
-    peer_answer = 'r',
+    status_request = 'q',
+    status_response = 'a',
+    peer_request = 'p',
+    peer_response = 'r',
 };
 
 /// \brief Kind of a message type.
 template <class Message>
-inline constexpr message_kind kind_of = message_kind::question;
+inline constexpr message_kind kind_of = message_kind::status_request;
 template <>
-inline constexpr message_kind kind_of<answer> = message_kind::answer;
+inline constexpr message_kind kind_of<status_response> =
+    message_kind::status_response;
 template <>
-inline constexpr message_kind kind_of<peer_question> =
-    message_kind::peer_question;
+inline constexpr message_kind kind_of<peer_request> =
+    message_kind::peer_request;
 template <>
-inline constexpr message_kind kind_of<peer_answer> = message_kind::peer_answer;
+inline constexpr message_kind kind_of<peer_response> =
+    message_kind::peer_response;
 
 /// \brief Serializes a message as one datagram, with its kind.
 template <class Message>
--- a/jujubestand/status/test/cache_view_test.cpp
+++ b/jujubestand/status/test/cache_view_test.cpp
@@ -37,9 +37,9 @@
 {
     constexpr std::size_t enough = 200;
     std::size_t taken = 0;
-    while (copy.mark.generation != view.generation && taken < enough)
+    while (copy.position.generation != view.generation && taken < enough)
     {
-        on_delta(copy, delta_since(view, copy.mark));
+        on_delta(copy, delta_since(view, copy.position));
         ++taken;
     }
     return taken;
@@ -68,10 +68,10 @@
     begin(view, 1'000);
     fill(view, 1, many);
     cache_copy copy;
-    while (copy.mark.generation != view.generation)
+    while (copy.position.generation != view.generation)
     {
-        answer from;
-        from.cache = delta_since(view, copy.mark);
+        status_response from;
+        from.cache = delta_since(view, copy.position);
         ASSERT_LT(to_datagram(from).size(), datagram_bytes);
         ASSERT_FALSE(from.cache.entries.empty());
         on_delta(copy, from.cache);
@@ -85,8 +85,8 @@
     begin(view, 1'000);
     fill(view, 1, 300);
     cache_copy copy;
-    on_delta(copy, delta_since(view, copy.mark));
-    ASSERT_NE(copy.mark.generation, view.generation);
+    on_delta(copy, delta_since(view, copy.position));
+    ASSERT_NE(copy.position.generation, view.generation);
     // A part that the copy has, one that it lacks, and one that is cached again
     // afterwards.
     for (part_hash const part : {2U, 290U, 3U})
@@ -156,7 +156,7 @@
                        view.next + 1,
                        false,
                        {{part, static_cast<std::uint32_t>(what), what < 30}}});
-        auto const delta = delta_since(view, copy.mark);
+        auto const delta = delta_since(view, copy.position);
         auto const fate = *rc::gen::inRange(0, 4);
         if (fate == 0)
             late.push_back(delta);
@@ -164,7 +164,7 @@
             on_delta(copy, delta);
         if (fate == 3 && !late.empty())
             on_delta(copy, late.back());
-        if (copy.mark.generation == view.generation)
+        if (copy.position.generation == view.generation)
             RC_ASSERT(copy.parts == live(view));
     }
     catch_up(copy, view);
@@ -173,28 +173,28 @@
 
 TEST(messages, datagrams_come_back_as_they_were_sent)
 {
-    question asked;
-    asked.asked_at_us = 5;
+    status_request asked;
+    asked.sent_at_us = 5;
     asked.gateway = "g";
-    asked.wanted["m"] = 3;
-    asked.place = 2;
+    asked.requested_versions["m"] = 3;
+    asked.pool_index = 2;
     auto const bytes = to_datagram(asked);
-    auto const read = from_datagram<question>(bytes);
+    auto const read = from_datagram<status_request>(bytes);
     ASSERT_TRUE(read);
-    EXPECT_EQ(read->wanted, asked.wanted);
-    EXPECT_EQ(read->place, 2U);
-    EXPECT_FALSE(from_datagram<answer>(bytes));
+    EXPECT_EQ(read->requested_versions, asked.requested_versions);
+    EXPECT_EQ(read->pool_index, 2U);
+    EXPECT_FALSE(from_datagram<status_response>(bytes));
 }
 
 TEST(messages, bytes_that_are_no_message_say_nothing)
 {
-    auto const bytes = to_datagram(answer{});
+    auto const bytes = to_datagram(status_response{});
     for (std::size_t size = 0; size < bytes.size(); ++size)
-        EXPECT_FALSE(from_datagram<answer>(bytes.substr(0, size)));
-    EXPECT_FALSE(from_datagram<answer>("a\xdd\xff\xff\xff\xff"));
-    answer other;
-    other.format = format_number + 1;
-    EXPECT_FALSE(from_datagram<answer>(to_datagram(other)));
+        EXPECT_FALSE(from_datagram<status_response>(bytes.substr(0, size)));
+    EXPECT_FALSE(from_datagram<status_response>("a\xdd\xff\xff\xff\xff"));
+    status_response other;
+    other.format = format_version + 1;
+    EXPECT_FALSE(from_datagram<status_response>(to_datagram(other)));
 }
 
 } // namespace jujubestand::status
