--- a/jujubestand/agent/agent.cpp
+++ b/jujubestand/agent/agent.cpp
@@ -56,9 +56,9 @@
         std::move(events));
     state.status_socket = std::make_unique<loop::datagrams>(
         state.base,
-        [&state](address const& from, std::string_view bytes)
+        [&state](address const& sender, std::string_view bytes)
         {
-            on_status_request(state, from, bytes);
+            on_status_request(state, sender, bytes);
         });
     http1::server_events served;
     served.on_request =
--- a/jujubestand/agent/answers.cpp
+++ b/jujubestand/agent/answers.cpp
@@ -22,62 +22,62 @@
 }
 
 status::status_response make_response(agent_state& state,
-                                      status::status_request const& asked,
+                                      status::status_request const& request,
                                       mono_time now)
 {
-    status::status_response answer;
-    answer.request_sent_at_us = asked.sent_at_us;
-    answer.agent = state.settings.name;
-    answer.is_engine_reachable = state.is_reachable;
+    status::status_response response;
+    response.request_sent_at_us = request.sent_at_us;
+    response.agent = state.settings.name;
+    response.is_engine_reachable = state.is_reachable;
     remove_stale(state.gateways, now);
-    answer.gateways = hosts_if_changed(state.gateways, asked.gateways_hash);
+    response.gateways = hosts_if_changed(state.gateways, request.gateways_hash);
     auto const& known = state.operator_topic->known();
-    answer.operator_end = known.next;
+    response.operator_end = known.next;
     if (auto const age = follow::staleness(known, now))
-        answer.staleness_us = age->count();
+        response.staleness_us = age->count();
     if (!state.report)
-        return answer;
+        return response;
     auto const& report = *state.report;
-    answer.is_preparing = is_preparing(state.weights, report, now);
+    response.is_preparing = is_preparing(state.weights, report, now);
     if (auto const due = load_due(state.weights, report, now))
-        answer.load_due_us = due->count();
-    answer.is_busy = report.is_busy;
-    answer.versions = report.versions;
-    answer.queued = report.queued;
-    answer.running = report.running;
-    answer.prefilling = report.prefilling;
-    answer.memory_used = report.memory_used;
-    answer.memory_total = report.memory_total;
-    answer.cache = status::delta_since(state.cache, asked.cache);
-    answer.report_age_ms =
+        response.load_due_us = due->count();
+    response.is_busy = report.is_busy;
+    response.versions = report.versions;
+    response.queued = report.queued;
+    response.running = report.running;
+    response.prefilling = report.prefilling;
+    response.memory_used = report.memory_used;
+    response.memory_total = report.memory_total;
+    response.cache = status::delta_since(state.cache, request.cache);
+    response.report_age_ms =
         static_cast<std::uint32_t>(to_ms(now - state.reported_at));
-    return answer;
+    return response;
 }
 
 // Applies what the request says about the engine; gateways read it from the
 // store.
-void apply_request(agent_state& state, status::status_request const& asked,
+void apply_request(agent_state& state, status::status_request const& request,
                    mono_time now)
 {
-    for (auto const& [model, version] : asked.requested_versions)
+    for (auto const& [model, version] : request.requested_versions)
         on_requested_version(state, model, version, now);
-    state.upstream = asked.upstream;
-    state.weights.pool_index = asked.pool_index;
-    state.weights.pool_size = std::max(1U, asked.pool_size);
+    state.upstream = request.upstream;
+    state.weights.pool_index = request.pool_index;
+    state.weights.pool_size = std::max(1U, request.pool_size);
 }
 
 // Reads the operator's topic if neither the gateway's nor the agent's copy was
 // confirmed recently.
-void refresh_if_stale(agent_state& state, status::status_request const& asked,
+void refresh_if_stale(agent_state& state, status::status_request const& request,
                       mono_time now)
 {
     auto const& known = state.operator_topic->known();
     auto const age = follow::staleness(known, now);
-    bool const lacks_proof =
-        (asked.staleness_us < 0 ||
-         microseconds{asked.staleness_us} > staleness_limit) &&
+    bool const needs_refresh =
+        (request.staleness_us < 0 ||
+         microseconds{request.staleness_us} > staleness_limit) &&
         (!age || *age > own_staleness_limit);
-    if (lacks_proof)
+    if (needs_refresh)
         state.operator_topic->refresh();
 }
 
@@ -93,27 +93,29 @@
     if (is_usable == state.was_usable)
         return;
     state.was_usable = is_usable;
-    status::status_request unasked;
-    unasked.cache = {state.cache.generation, state.cache.generation};
-    auto const bytes = status::to_datagram(make_response(state, unasked, now));
+    status::status_request empty_request;
+    empty_request.cache = {state.cache.generation, state.cache.generation};
+    auto const bytes =
+        status::to_datagram(make_response(state, empty_request, now));
     for (auto const& [name, gateway] : state.gateways)
         state.status_socket->send(gateway.endpoint, bytes);
 }
 
-void on_status_request(agent_state& state, address const& from,
+void on_status_request(agent_state& state, address const& sender,
                        std::string_view bytes)
 {
-    auto const asked = status::from_datagram<status::status_request>(bytes);
-    if (!asked)
+    auto const request = status::from_datagram<status::status_request>(bytes);
+    if (!request)
         return;
     auto const now = mono_now();
     if (!state.first_request_at)
         state.first_request_at = now;
-    apply_request(state, *asked, now);
-    state.gateways[asked->gateway] = gateway_entry{from, asked->link_mbps, now};
+    apply_request(state, *request, now);
+    state.gateways[request->gateway] =
+        gateway_entry{sender, request->link_mbps, now};
     state.status_socket->send(
-        from, status::to_datagram(make_response(state, *asked, now)));
-    refresh_if_stale(state, *asked, now);
+        sender, status::to_datagram(make_response(state, *request, now)));
+    refresh_if_stale(state, *request, now);
 }
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/answers.hpp
+++ b/jujubestand/agent/answers.hpp
@@ -13,7 +13,7 @@
 void notify_gateways(agent_state& state);
 
 /// \brief Handles a status request from a gateway.
-void on_status_request(agent_state& state, address const& from,
+void on_status_request(agent_state& state, address const& sender,
                        std::string_view bytes);
 
 } // namespace jujubestand::agent
--- a/jujubestand/agent/askers.cpp
+++ b/jujubestand/agent/gateway_table.cpp
@@ -1,4 +1,4 @@
-#include <jujubestand/agent/askers.hpp>
+#include <jujubestand/agent/gateway_table.hpp>
 
 #include <algorithm>
 #include <jujubestand/status/messages.hpp>
@@ -20,34 +20,34 @@
 
 } // namespace
 
-void remove_stale(gateway_table& all, mono_time now)
+void remove_stale(gateway_table& gateways, mono_time now)
 {
-    std::erase_if(all,
-                  [now](auto const& row)
+    std::erase_if(gateways,
+                  [now](auto const& entry)
                   {
-                      return now - row.second.last_request_at >
+                      return now - entry.second.last_request_at >
                              retention_period;
                   });
 }
 
-std::vector<std::string> hosts_by_bandwidth(gateway_table const& all)
+std::vector<std::string> hosts_by_bandwidth(gateway_table const& gateways)
 {
     std::vector<gateway_entry> known;
-    known.reserve(all.size());
-    for (auto const& [name, gateway] : all)
+    known.reserve(gateways.size());
+    for (auto const& [name, gateway] : gateways)
         known.push_back(gateway);
     std::sort(known.begin(), known.end(), has_priority);
     std::vector<std::string> hosts;
-    hosts.reserve(all.size());
+    hosts.reserve(gateways.size());
     for (auto const& gateway : known)
         hosts.push_back(gateway.endpoint.host);
     return hosts;
 }
 
-std::vector<std::string> hosts_if_changed(gateway_table const& all,
+std::vector<std::string> hosts_if_changed(gateway_table const& gateways,
                                           std::uint64_t known_hash)
 {
-    auto hosts = hosts_by_bandwidth(all);
+    auto hosts = hosts_by_bandwidth(gateways);
     if (status::hash_of(hosts) == known_hash)
         hosts.clear();
     return hosts;
--- a/jujubestand/agent/askers.hpp
+++ b/jujubestand/agent/gateway_table.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBESTAND_AGENT_ASKERS_HPP
-#define JUJUBESTAND_AGENT_ASKERS_HPP
+#ifndef JUJUBESTAND_AGENT_GATEWAY_TABLE_HPP
+#define JUJUBESTAND_AGENT_GATEWAY_TABLE_HPP
 
 #include <cstdint>
 #include <jujubestand/core/address.hpp>
@@ -26,17 +26,17 @@
 using gateway_table = std::map<std::string, gateway_entry>;
 
 /// \brief Removes gateways without a recent status request.
-void remove_stale(gateway_table& all, mono_time now);
+void remove_stale(gateway_table& gateways, mono_time now);
 
 /// \brief IP addresses of the gateways, those with the most bandwidth first:
 /// these read the store for the others.
 [[nodiscard]] std::vector<std::string>
-hosts_by_bandwidth(gateway_table const& all);
+hosts_by_bandwidth(gateway_table const& gateways);
 
 /// \brief The same list, or an empty one if the gateway already has it.
 /// \param known_hash `status::hash_of` of the list that the gateway has
 [[nodiscard]] std::vector<std::string>
-hosts_if_changed(gateway_table const& all, std::uint64_t known_hash);
+hosts_if_changed(gateway_table const& gateways, std::uint64_t known_hash);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/agent/rollout.cpp
+++ b/jujubestand/agent/rollout.cpp
@@ -33,9 +33,9 @@
     return state.pool_index / concurrent_loads(state);
 }
 
-mono_time load_time(rollout const& state, requested_version const& want)
+mono_time load_time(rollout const& state, requested_version const& requested)
 {
-    return want.requested_at.value_or(mono_time{}) +
+    return requested.requested_at.value_or(mono_time{}) +
            state.limits.notice_period +
            state.limits.group_interval *
                static_cast<std::int64_t>(group_of(state));
@@ -53,19 +53,21 @@
 // Long calls get time to end before the engine stops accepting calls; those
 // that still run then are moved to another engine where allowed.
 bool is_waiting_for_long_calls(rollout const& state,
-                               requested_version const& want, mono_time now)
+                               requested_version const& requested,
+                               mono_time now)
 {
-    return want.is_age_known && has_long_call(state, now) &&
-           now < want.requested_at.value_or(now) +
+    return requested.is_age_known && has_long_call(state, now) &&
+           now < requested.requested_at.value_or(now) +
                      state.limits.long_call_wait_limit;
 }
 
 // Calls that were sent before the notice may still be queued or in prefill.
-bool is_waiting_for_queue(rollout const& state, requested_version const& want,
+bool is_waiting_for_queue(rollout const& state,
+                          requested_version const& requested,
                           status::engine_report const& report, mono_time now)
 {
     return report.queued + report.prefilling > 0 &&
-           now < want.notice_at + state.limits.queue_wait_limit;
+           now < requested.notice_at + state.limits.queue_wait_limit;
 }
 
 } // namespace
@@ -106,13 +108,14 @@
     if (!state.fence)
         return std::nullopt;
     std::optional<microseconds> soonest;
-    for (auto const& [model, want] : state.requested_versions)
+    for (auto const& [model, requested] : state.requested_versions)
     {
-        auto const has = version_of(report, model);
-        if (has == 0 || has >= want.version || !want.requested_at)
+        auto const loaded_version = version_of(report, model);
+        if (loaded_version == 0 || loaded_version >= requested.version ||
+            !requested.requested_at)
             continue;
         microseconds const due =
-            std::max(load_time(state, want) - now, microseconds{0});
+            std::max(load_time(state, requested) - now, microseconds{0});
         soonest = soonest ? std::min(*soonest, due) : due;
     }
     return soonest;
@@ -125,13 +128,15 @@
         state.requested_versions.begin(), state.requested_versions.end(),
         [&](auto const& row)
         {
-            auto const& want = row.second;
-            auto const has = version_of(report, row.first);
-            return state.fence && has > 0 && has < want.version &&
-                   want.requested_at &&
-                   now + state.limits.notice_period >= load_time(state, want) &&
-                   (want.is_notice_given ||
-                    !is_waiting_for_long_calls(state, want, now));
+            auto const& requested = row.second;
+            auto const loaded_version = version_of(report, row.first);
+            return state.fence && loaded_version > 0 &&
+                   loaded_version < requested.version &&
+                   requested.requested_at &&
+                   now + state.limits.notice_period >=
+                       load_time(state, requested) &&
+                   (requested.is_notice_given ||
+                    !is_waiting_for_long_calls(state, requested, now));
         });
 }
 
@@ -140,35 +145,37 @@
 {
     if (!state.fence || report.is_busy)
         return std::nullopt;
-    for (auto& [model, want] : state.requested_versions)
+    for (auto& [model, requested] : state.requested_versions)
     {
-        auto const has = version_of(report, model);
-        if (has >= want.version)
+        auto const loaded_version = version_of(report, model);
+        if (loaded_version >= requested.version)
         {
-            want.requested_at.reset();
-            want.is_notice_given = false;
-            if (state.ordered_version <= has)
+            requested.requested_at.reset();
+            requested.is_notice_given = false;
+            if (state.ordered_version <= loaded_version)
                 state.ordered_at.reset();
             continue;
         }
-        if (has == 0)
+        if (loaded_version == 0)
             continue;
         bool const is_pending =
             state.ordered_at &&
             now - *state.ordered_at < state.limits.order_retry_interval;
-        if (!want.requested_at || now < load_time(state, want) || is_pending)
+        if (!requested.requested_at || now < load_time(state, requested) ||
+            is_pending)
             continue;
-        if (!want.is_notice_given &&
-            is_waiting_for_long_calls(state, want, now))
+        if (!requested.is_notice_given &&
+            is_waiting_for_long_calls(state, requested, now))
             continue;
-        if (!std::exchange(want.is_notice_given, true))
-            want.notice_at = now;
-        if (now < want.notice_at + state.limits.notice_period ||
-            is_waiting_for_queue(state, want, report, now))
+        if (!std::exchange(requested.is_notice_given, true))
+            requested.notice_at = now;
+        if (now < requested.notice_at + state.limits.notice_period ||
+            is_waiting_for_queue(state, requested, report, now))
             continue;
         state.ordered_at = now;
-        state.ordered_version = want.version;
-        return order{model, want.version, *state.fence, report.orders_accepted};
+        state.ordered_version = requested.version;
+        return order{model, requested.version, *state.fence,
+                     report.orders_accepted};
     }
     return std::nullopt;
 }
--- a/jujubestand/agent/state.hpp
+++ b/jujubestand/agent/state.hpp
@@ -1,7 +1,7 @@
 #ifndef JUJUBESTAND_AGENT_STATE_HPP
 #define JUJUBESTAND_AGENT_STATE_HPP
 
-#include <jujubestand/agent/askers.hpp>
+#include <jujubestand/agent/gateway_table.hpp>
 #include <jujubestand/agent/rollout.hpp>
 #include <jujubestand/follow/follower.hpp>
 #include <jujubestand/http1/server.hpp>
--- /dev/null
+++ b/jujubestand/agent/test/gateway_table_test.cpp
@@ -0,0 +1,56 @@
+#include <gtest/gtest.h>
+#include <jujubestand/agent/gateway_table.hpp>
+#include <jujubestand/status/messages.hpp>
+
+namespace jujubestand::agent
+{
+
+namespace
+{
+
+mono_time at(int ms)
+{
+    return mono_time{std::chrono::milliseconds{ms}};
+}
+
+gateway_entry gateway(char const* host, double link_mbps,
+                      int last_request_at_ms)
+{
+    return {{host, 7'000}, link_mbps, at(last_request_at_ms)};
+}
+
+} // namespace
+
+// The first two gateways of the list read the store for all others. On a link
+// of 10 Mbit/s this traffic displaced the callers' requests.
+TEST(gateway_table, gateways_with_most_bandwidth_come_first)
+{
+    gateway_table const gateways = {{"a", gateway("10.0.0.1", 10, 0)},
+                                    {"b", gateway("10.0.0.9", 200, 0)},
+                                    {"c", gateway("10.0.0.5", 200, 0)},
+                                    {"d", gateway("10.0.0.2", 10, 0)}};
+    std::vector<std::string> const expected = {"10.0.0.5", "10.0.0.9",
+                                               "10.0.0.1", "10.0.0.2"};
+    EXPECT_EQ(hosts_by_bandwidth(gateways), expected);
+}
+
+TEST(gateway_table, stale_gateways_are_removed)
+{
+    gateway_table gateways = {{"a", gateway("10.0.0.1", 10, 0)},
+                              {"b", gateway("10.0.0.2", 10, 2'900)}};
+    remove_stale(gateways, at(3'100));
+    EXPECT_EQ(hosts_by_bandwidth(gateways),
+              std::vector<std::string>{"10.0.0.2"});
+}
+
+TEST(gateway_table, hosts_are_sent_only_if_changed)
+{
+    gateway_table gateways = {{"a", gateway("10.0.0.1", 10, 0)}};
+    auto const known = status::hash_of(hosts_if_changed(gateways, 0));
+    EXPECT_TRUE(hosts_if_changed(gateways, known).empty());
+    gateways["b"] = gateway("10.0.0.2", 200, 0);
+    std::vector<std::string> const both = {"10.0.0.2", "10.0.0.1"};
+    EXPECT_EQ(hosts_if_changed(gateways, known), both);
+}
+
+} // namespace jujubestand::agent
--- a/jujubestand/agent/test/rollout_test.cpp
+++ b/jujubestand/agent/test/rollout_test.cpp
@@ -20,20 +20,21 @@
     return report;
 }
 
-rollout ready(std::size_t place, std::size_t engines)
+rollout ready(std::size_t index, std::size_t engine_count)
 {
     rollout state;
     state.fence = 7;
-    state.pool_index = place;
-    state.pool_size = engines;
+    state.pool_index = index;
+    state.pool_size = engine_count;
     return state;
 }
 
-/// First time in ms from `from` on, in steps of 10 ms, at which an order is
+/// First time in ms from `start_ms` on, in steps of 10 ms, at which an order is
 /// due; -1 if there is none within 20 s.
-int first_order(rollout& state, status::engine_report const& report, int from)
+int first_order(rollout& state, status::engine_report const& report,
+                int start_ms)
 {
-    for (int ms = from; ms < from + 20'000; ms += 10)
+    for (int ms = start_ms; ms < start_ms + 20'000; ms += 10)
     {
         if (next_order(state, report, at(ms)))
             return ms;
@@ -46,9 +47,9 @@
 TEST(rollout, engines_load_a_few_at_a_time)
 {
     std::map<int, int> starts;
-    for (std::size_t place = 0; place < 20; ++place)
+    for (std::size_t index = 0; index < 20; ++index)
     {
-        auto state = ready(place, 20);
+        auto state = ready(index, 20);
         record_request(state, "m", 2, at(1'000));
         ++starts[first_order(state, engine(1, 0), 1'000)];
     }
@@ -57,7 +58,7 @@
         EXPECT_EQ(count, 4);
 }
 
-TEST(rollout, an_order_names_the_newest_version_and_what_came_before)
+TEST(rollout, an_order_has_the_newest_version_and_the_accepted_count)
 {
     auto state = ready(0, 9);
     EXPECT_TRUE(record_request(state, "m", 2, at(1'000)));
@@ -66,11 +67,11 @@
     int const when = first_order(state, engine(1, 4), 1'000);
     ASSERT_GT(when, 0);
     state.ordered_at.reset();
-    auto const given = next_order(state, engine(1, 4), at(when + 10));
-    ASSERT_TRUE(given);
-    EXPECT_EQ(given->version, 3U);
-    EXPECT_EQ(given->orders_accepted, 4U);
-    EXPECT_EQ(given->fence, 7U);
+    auto const issued_order = next_order(state, engine(1, 4), at(when + 10));
+    ASSERT_TRUE(issued_order);
+    EXPECT_EQ(issued_order->version, 3U);
+    EXPECT_EQ(issued_order->orders_accepted, 4U);
+    EXPECT_EQ(issued_order->fence, 7U);
 }
 
 TEST(rollout, a_lost_order_is_repeated_for_the_same_state_only)
@@ -98,7 +99,7 @@
     EXPECT_FALSE(is_preparing(state, engine(1, 0), at(5'000)));
 }
 
-TEST(rollout, gateways_are_told_before_the_order)
+TEST(rollout, notice_precedes_the_order)
 {
     auto state = ready(0, 9);
     record_request(state, "m", 2, at(1'000));
@@ -108,7 +109,7 @@
     EXPECT_FALSE(is_preparing(state, engine(2, 1), at(3'000)));
 }
 
-TEST(rollout, loads_wait_for_long_calls_but_not_for_ever)
+TEST(rollout, loads_wait_for_long_calls_up_to_a_limit)
 {
     auto state = ready(0, 9);
     update_running_calls(state, {11}, at(0));
@@ -122,7 +123,7 @@
 
 // hunt-0742-19: a restarted agent took its start for the time of the request
 // and waited for long calls again.
-TEST(rollout, a_wish_of_unknown_age_is_not_held_back)
+TEST(rollout, a_request_of_unknown_age_does_not_wait_for_long_calls)
 {
     auto state = ready(0, 9);
     update_running_calls(state, {11}, at(0));
@@ -130,18 +131,18 @@
     EXPECT_LE(first_order(state, engine(1, 0), 1'000), 1'300);
 }
 
-TEST(rollout, calls_that_are_read_hold_an_order_back_briefly)
+TEST(rollout, an_order_waits_briefly_for_prefill)
 {
     auto state = ready(0, 9);
     record_request(state, "m", 2, at(0));
-    auto reading = engine(1, 0);
-    reading.prefilling = 1;
-    int const when = first_order(state, reading, 0);
+    auto prefilling_engine = engine(1, 0);
+    prefilling_engine.prefilling = 1;
+    int const when = first_order(state, prefilling_engine, 0);
     EXPECT_GE(when, state.limits.queue_wait_limit.count());
     EXPECT_LE(when, state.limits.queue_wait_limit.count() + 300);
 }
 
-TEST(rollout, the_time_of_the_load_is_told)
+TEST(rollout, load_time_is_reported)
 {
     auto state = ready(4, 9);
     EXPECT_FALSE(load_due(state, engine(1, 0), at(0)));
--- a/jujubestand/agent/weights.cpp
+++ b/jujubestand/agent/weights.cpp
@@ -24,17 +24,17 @@
 {
     constexpr int accepted = 202;
     constexpr int conflict = 409;
-    constexpr int old_fence = 412;
+    constexpr int precondition_failed = 412;
     if (status == ok || status == accepted)
         return order_response::accepted;
     if (status == conflict)
         return order_response::conflict;
-    if (status == old_fence)
+    if (status == precondition_failed)
         return order_response::stale_fence;
     return status == 0 ? order_response::no_response : order_response::refused;
 }
 
-void on_order_end(agent_state& state, order const& given, int status)
+void on_order_end(agent_state& state, order const& load_order, int status)
 {
     auto const answer = to_order_response(status);
     on_order_response(state.weights, answer, mono_now());
@@ -42,10 +42,10 @@
         answer == order_response::accepted ? event_number::order_given
                                            : event_number::order_refused,
         {},
-        {{"model", given.model},
-         {"version", static_cast<std::int64_t>(given.version)},
-         {"fence", static_cast<std::int64_t>(given.fence)},
-         {"expect", static_cast<std::int64_t>(given.orders_accepted)},
+        {{"model", load_order.model},
+         {"version", static_cast<std::int64_t>(load_order.version)},
+         {"fence", static_cast<std::int64_t>(load_order.fence)},
+         {"expect", static_cast<std::int64_t>(load_order.orders_accepted)},
          {"status", status},
          {"answer", to_name(order_response_names, answer)}});
     if (!state.weights.fence)
@@ -93,25 +93,26 @@
             !row.key.starts_with(platform::names::weights_key_prefix))
             continue;
         reason why;
-        auto const wanted = platform::decode_weights(row.value, why);
-        if (!wanted)
+        auto const requested_weights = platform::decode_weights(row.value, why);
+        if (!requested_weights)
         {
             state.log->write(event_number::record_rejected, {},
                              {{"key", row.key}, {"why", to_text(why)}});
             continue;
         }
-        on_requested_version(state, wanted->model, wanted->version, mono_now());
+        on_requested_version(state, requested_weights->model,
+                             requested_weights->version, mono_now());
     }
 }
 
-void send_order(agent_state& state, order const& given)
+void send_order(agent_state& state, order const& load_order)
 {
     platform::weights_order order;
-    order.model = given.model;
-    order.version = given.version;
+    order.model = load_order.model;
+    order.version = load_order.version;
     order.holder = state.settings.name;
-    order.fence = given.fence;
-    order.orders_accepted = given.orders_accepted;
+    order.fence = load_order.fence;
+    order.orders_accepted = load_order.orders_accepted;
     order.upstream = state.upstream;
     auto request = platform::order_request(*state.settings.upstream, order);
     request.timeout = order_timeout;
@@ -122,9 +123,9 @@
         *status = head.status;
     };
     events.on_body = [](std::string_view) {};
-    events.on_end = [&state, given, status](http1::call_end const&)
+    events.on_end = [&state, load_order, status](http1::call_end const&)
     {
-        on_order_end(state, given, *status);
+        on_order_end(state, load_order, *status);
     };
     state.http_client->start(std::move(request), std::move(events));
 }
--- a/jujubestand/agent/weights.hpp
+++ b/jujubestand/agent/weights.hpp
@@ -20,7 +20,7 @@
 void apply_records(agent_state& state, std::vector<follow::record> const& rows);
 
 /// \brief Orders the engine to load weights.
-void send_order(agent_state& state, order const& given);
+void send_order(agent_state& state, order const& load_order);
 
 } // namespace jujubestand::agent
 
--- a/jujubestand/follow/follower.cpp
+++ b/jujubestand/follow/follower.cpp
@@ -35,11 +35,11 @@
     std::chrono::milliseconds retry_delay{0};
     loop::timer read_timer;
 
-    state(event_base* base, platform::store& source, read_options manner,
-          follower_events told)
+    state(event_base* base, platform::store& source, read_options settings,
+          follower_events callbacks)
         : store_client(source)
-        , options(std::move(manner))
-        , events(std::move(told))
+        , options(std::move(settings))
+        , events(std::move(callbacks))
         , read_timer(base,
                      [this]
                      {
--- a/jujubestand/follow/test/follower_test.cpp
+++ b/jujubestand/follow/test/follower_test.cpp
@@ -18,12 +18,12 @@
 
 address free_address()
 {
-    int const made = ::socket(AF_INET, SOCK_STREAM, 0);
+    int const descriptor = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in local = *http1::to_sockaddr({"127.0.0.1", 0});
     socklen_t size = sizeof local;
-    EXPECT_EQ(bind(made, reinterpret_cast<sockaddr*>(&local), size), 0);
-    getsockname(made, reinterpret_cast<sockaddr*>(&local), &size);
-    close(made);
+    EXPECT_EQ(bind(descriptor, reinterpret_cast<sockaddr*>(&local), size), 0);
+    getsockname(descriptor, reinterpret_cast<sockaddr*>(&local), &size);
+    close(descriptor);
     return {"127.0.0.1", ntohs(local.sin_port)};
 }
 
@@ -32,14 +32,14 @@
 // If the store deletes unread records, peers may lack them too. Records handed
 // over by such peers were taken for a complete list, so the next read failed
 // again, for ever.
-TEST(follower, deleted_records_lead_to_a_list_whatever_peers_tell)
+TEST(follower, deleted_records_force_a_list_despite_peer_records)
 {
     std::unique_ptr<event_base, decltype(&event_base_free)> const base(
         event_base_new(), event_base_free);
     int lists = 0;
     int reads = 0;
     std::unique_ptr<http1::server> store_server;
-    std::unique_ptr<follower> made;
+    std::unique_ptr<follower> reader;
     http1::server_events served;
     served.on_request =
         [&](http1::exchange_id id, http1::server_request const& request)
@@ -55,16 +55,16 @@
             return;
         }
         ++reads;
-        made->apply({{}, 6}, 5, mono_now());
+        reader->apply({{}, 6}, 5, mono_now());
         store_server->respond(id, 410, {}, R"({"first":8})");
     };
     served.on_gone = [](http1::exchange_id) {};
     store_server = std::make_unique<http1::server>(base.get(), served);
-    auto const where = free_address();
+    auto const store_address = free_address();
     reason why;
-    ASSERT_TRUE(store_server->listen(where, why)) << why.text;
+    ASSERT_TRUE(store_server->listen(store_address, why)) << why.text;
     http1::client calls(base.get());
-    platform::store store(calls, where);
+    platform::store store(calls, store_address);
     follower_events events;
     events.on_changes = [&](std::vector<record> const&)
     {
@@ -74,16 +74,16 @@
     events.on_unreachable = [](reason const&) {};
     events.on_reachable = [] {};
     events.on_expired = [](reason const&) {};
-    made = std::make_unique<follower>(
+    reader = std::make_unique<follower>(
         base.get(), store,
         read_options{"keyed.t", {}, std::chrono::milliseconds{1}}, events);
-    made->set_active(true);
+    reader->set_active(true);
     timeval const limit{5, 0};
     event_base_loopexit(base.get(), &limit);
     event_base_dispatch(base.get());
     EXPECT_EQ(lists, 2);
     EXPECT_EQ(reads, 1);
-    EXPECT_EQ(made->known().next, 9U);
+    EXPECT_EQ(reader->known().next, 9U);
 }
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/test/topic_test.cpp
+++ b/jujubestand/follow/test/topic_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST(topic, a_list_removes_the_keys_that_it_lacks)
+TEST(topic, a_list_removes_unlisted_keys)
 {
     auto state = listed();
     auto const changes = on_listing(state, {{{"a", "1", 3}}, 9}, at(200));
@@ -34,20 +34,20 @@
 
 // If the store deletes records, removals show only in a list. Gateways that
 // don't list the topic themselves missed them.
-TEST(topic, a_removal_found_by_a_list_reaches_others)
+TEST(topic, a_removal_found_by_a_list_is_passed_to_peers)
 {
     auto reader = listed();
-    auto other = listed();
+    auto peer = listed();
     on_listing(reader, {{{"a", "1", 3}}, 9}, at(200));
-    auto const told = changes_since(reader, other.next);
-    auto const changes = on_peer_records(other, told, other.next, at(200));
+    auto const records = changes_since(reader, peer.next);
+    auto const changes = on_peer_records(peer, records, peer.next, at(200));
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes[0].key, "b");
-    EXPECT_EQ(other.next, 9U);
-    EXPECT_EQ(live_keys(other), live_keys(reader));
+    EXPECT_EQ(peer.next, 9U);
+    EXPECT_EQ(live_keys(peer), live_keys(reader));
 }
 
-TEST(topic, an_older_list_or_page_changes_nothing)
+TEST(topic, an_outdated_list_or_page_is_ignored)
 {
     auto state = listed();
     EXPECT_TRUE(on_listing(state, {{}, 4}, at(900)).empty());
@@ -56,14 +56,14 @@
     EXPECT_EQ(staleness(state, at(150)), microseconds{50'000});
 }
 
-TEST(topic, an_older_record_does_not_undo_a_newer_one)
+TEST(topic, an_older_record_does_not_replace_a_newer_one)
 {
     auto state = listed();
     EXPECT_TRUE(on_page(state, {{{"a", "0", 2}}, 6}, at(200)).empty());
     EXPECT_EQ(state.newest["a"].value, "1");
 }
 
-TEST(topic, only_the_last_page_proves)
+TEST(topic, only_the_last_page_confirms_the_copy)
 {
     auto state = listed();
     on_page(state, {{{"c", "1", 5}}, 9}, at(300));
@@ -72,7 +72,7 @@
     EXPECT_EQ(state.current_as_of, at(400));
 }
 
-TEST(topic, a_peer_vouches_only_for_what_is_known_here)
+TEST(topic, a_confirmation_needs_a_complete_copy)
 {
     auto state = listed();
     on_confirmation(state, 6, at(500));
@@ -86,7 +86,7 @@
     EXPECT_FALSE(staleness(unlisted, at(600)));
 }
 
-TEST(topic, shared_records_must_join_on)
+TEST(topic, peer_records_that_leave_a_gap_are_ignored)
 {
     auto state = listed();
     EXPECT_TRUE(
@@ -100,7 +100,7 @@
     EXPECT_FALSE(unlisted.is_listed);
 }
 
-TEST(lapses, a_record_that_vanishes_in_calm_is_gone)
+TEST(lapses, a_removal_without_an_outage_is_final)
 {
     lapses state;
     on_store_answer(state, at(100));
@@ -108,7 +108,7 @@
     EXPECT_TRUE(on_removed(state, "a", at(700)));
 }
 
-TEST(lapses, a_record_that_vanishes_in_an_outage_may_come_back)
+TEST(lapses, a_removal_after_an_outage_may_be_temporary)
 {
     lapses state;
     on_store_answer(state, at(0));
@@ -122,7 +122,7 @@
     EXPECT_TRUE(take_expired(state, at(9'000)).empty());
 }
 
-TEST(lapses, nothing_is_gone_while_the_store_is_away)
+TEST(lapses, no_removal_is_final_during_an_outage)
 {
     lapses state;
     on_store_answer(state, at(0));
--- a/jujubestand/status/cache_view.cpp
+++ b/jujubestand/status/cache_view.cpp
@@ -70,8 +70,8 @@
         clear(view);
     view.epoch = events.epoch;
     view.next = events.next;
-    for (auto const& one : events.changes)
-        apply_change(view, one.part, one.is_dropped ? 0 : one.tokens);
+    for (auto const& change : events.changes)
+        apply_change(view, change.part, change.is_dropped ? 0 : change.tokens);
     return !events.is_gap;
 }
 
@@ -80,8 +80,8 @@
     clear(view);
     view.epoch = list.epoch;
     view.next = list.next;
-    for (auto const& one : list.changes)
-        apply_change(view, one.part, one.tokens);
+    for (auto const& change : list.changes)
+        apply_change(view, change.part, change.tokens);
 }
 
 // The horizon passes the generation of every copy, so each copy gets the whole
--- a/jujubestand/status/test/cache_view_test.cpp
+++ b/jujubestand/status/test/cache_view_test.cpp
@@ -24,9 +24,9 @@
 
 void fill(cache_view& view, part_hash first, std::size_t count)
 {
-    for (std::size_t at = 0; at < count; ++at)
+    for (std::size_t index = 0; index < count; ++index)
     {
-        auto const part = static_cast<part_hash>(first + at);
+        auto const part = static_cast<part_hash>(first + index);
         on_events(view,
                   {view.epoch, view.next + 1, false, {{part, 50, false}}});
     }
@@ -35,19 +35,20 @@
 // \returns the number of deltas that were applied
 std::size_t catch_up(cache_copy& copy, cache_view const& view)
 {
-    constexpr std::size_t enough = 200;
-    std::size_t taken = 0;
-    while (copy.position.generation != view.generation && taken < enough)
+    constexpr std::size_t deltas_limit = 200;
+    std::size_t applied = 0;
+    while (copy.position.generation != view.generation &&
+           applied < deltas_limit)
     {
         on_delta(copy, delta_since(view, copy.position));
-        ++taken;
+        ++applied;
     }
-    return taken;
+    return applied;
 }
 
 } // namespace
 
-TEST(cache_view, a_gap_or_a_restart_is_told)
+TEST(cache_view, a_gap_is_reported_and_a_restart_clears_the_view)
 {
     cache_view view;
     EXPECT_TRUE(on_events(view, {7, 2, false, {{1, 100, false}}}));
@@ -60,7 +61,7 @@
 // Without a limit, the first response about a large cache would saturate a
 // low-bandwidth link of a new gateway, and the next one would be sent before it
 // has arrived.
-TEST(cache_view, one_delta_stays_small_however_much_is_lacking)
+TEST(cache_view, delta_size_is_limited)
 {
     constexpr std::size_t many = 5'000;
     constexpr std::size_t datagram_bytes = 1'400;
@@ -70,16 +71,16 @@
     cache_copy copy;
     while (copy.position.generation != view.generation)
     {
-        status_response from;
-        from.cache = delta_since(view, copy.position);
-        ASSERT_LT(to_datagram(from).size(), datagram_bytes);
-        ASSERT_FALSE(from.cache.entries.empty());
-        on_delta(copy, from.cache);
+        status_response response;
+        response.cache = delta_since(view, copy.position);
+        ASSERT_LT(to_datagram(response).size(), datagram_bytes);
+        ASSERT_FALSE(response.cache.entries.empty());
+        on_delta(copy, response.cache);
     }
     EXPECT_EQ(copy.parts, live(view));
 }
 
-TEST(cache_view, what_changes_while_a_copy_catches_up_is_not_lost)
+TEST(cache_view, changes_during_catch_up_are_not_lost)
 {
     cache_view view;
     begin(view, 1'000);
@@ -98,7 +99,7 @@
 
 // A later run of the process starts at a higher generation, so a copy of an
 // earlier run is not mistaken for one that lags behind.
-TEST(cache_view, a_copy_of_an_earlier_life_starts_anew)
+TEST(cache_view, a_copy_of_an_earlier_run_is_replaced)
 {
     cache_view before;
     begin(before, 1'000);
@@ -114,7 +115,7 @@
     EXPECT_EQ(copy.parts, live(before));
 }
 
-TEST(cache_view, a_copy_that_lags_behind_forgotten_removals_starts_anew)
+TEST(cache_view, a_copy_that_lags_behind_the_horizon_is_replaced)
 {
     constexpr std::size_t many = 3'000;
     cache_view view;
@@ -123,11 +124,11 @@
     cache_copy copy;
     catch_up(copy, view);
     fill(view, 100, many);
-    for (std::size_t at = 0; at < many; ++at)
+    for (std::size_t index = 0; index < many; ++index)
         on_events(view, {0,
                          view.next + 1,
                          false,
-                         {{static_cast<part_hash>(100 + at), 0, true}}});
+                         {{static_cast<part_hash>(100 + index), 0, true}}});
     on_events(view, {0, view.next + 1, false, {{5, 0, true}}});
     catch_up(copy, view);
     EXPECT_EQ(copy.parts, live(view));
@@ -136,7 +137,7 @@
 
 // A copy that is updated by deltas, some of them lost, late or duplicated,
 // equals the view whenever it has the generation of the view.
-RC_GTEST_PROP(cache_view, a_copy_follows_through_losses, ())
+RC_GTEST_PROP(cache_view, a_copy_converges_despite_lost_deltas, ())
 {
     cache_view view;
     begin(view, 1'000);
@@ -146,23 +147,23 @@
     auto const steps = *rc::gen::inRange(1, 400);
     for (int step = 0; step < steps; ++step)
     {
-        auto const what = *rc::gen::inRange(0, 80);
+        auto const cached_tokens = *rc::gen::inRange(0, 80);
         auto const part = *rc::gen::inRange<part_hash>(0, 400);
-        if (what == 0)
+        if (cached_tokens == 0)
             clear(view);
         else
-            on_events(view,
-                      {view.epoch,
-                       view.next + 1,
-                       false,
-                       {{part, static_cast<std::uint32_t>(what), what < 30}}});
+            on_events(view, {view.epoch,
+                             view.next + 1,
+                             false,
+                             {{part, static_cast<std::uint32_t>(cached_tokens),
+                               cached_tokens < 30}}});
         auto const delta = delta_since(view, copy.position);
-        auto const fate = *rc::gen::inRange(0, 4);
-        if (fate == 0)
+        auto const delivery = *rc::gen::inRange(0, 4);
+        if (delivery == 0)
             late.push_back(delta);
-        else if (fate != 1)
+        else if (delivery != 1)
             on_delta(copy, delta);
-        if (fate == 3 && !late.empty())
+        if (delivery == 3 && !late.empty())
             on_delta(copy, late.back());
         if (copy.position.generation == view.generation)
             RC_ASSERT(copy.parts == live(view));
@@ -171,22 +172,22 @@
     RC_ASSERT(copy.parts == live(view));
 }
 
-TEST(messages, datagrams_come_back_as_they_were_sent)
+TEST(messages, datagrams_round_trip)
 {
-    status_request asked;
-    asked.sent_at_us = 5;
-    asked.gateway = "g";
-    asked.requested_versions["m"] = 3;
-    asked.pool_index = 2;
-    auto const bytes = to_datagram(asked);
+    status_request request;
+    request.sent_at_us = 5;
+    request.gateway = "g";
+    request.requested_versions["m"] = 3;
+    request.pool_index = 2;
+    auto const bytes = to_datagram(request);
     auto const read = from_datagram<status_request>(bytes);
     ASSERT_TRUE(read);
-    EXPECT_EQ(read->requested_versions, asked.requested_versions);
+    EXPECT_EQ(read->requested_versions, request.requested_versions);
     EXPECT_EQ(read->pool_index, 2U);
     EXPECT_FALSE(from_datagram<status_response>(bytes));
 }
 
-TEST(messages, bytes_that_are_no_message_say_nothing)
+TEST(messages, malformed_datagrams_are_rejected)
 {
     auto const bytes = to_datagram(status_response{});
     for (std::size_t size = 0; size < bytes.size(); ++size)
