--- a/jujubestand/follow/follower.cpp
+++ b/jujubestand/follow/follower.cpp
@@ -35,9 +35,9 @@
     std::chrono::milliseconds retry_delay{0};
     loop::timer read_timer;
 
-    state(event_base* base, platform::store& source, read_options settings,
+    state(event_base* base, platform::store& store, read_options settings,
           follower_events callbacks)
-        : store_client(source)
+        : store_client(store)
         , options(std::move(settings))
         , events(std::move(callbacks))
         , read_timer(base,
@@ -171,9 +171,9 @@
     this->schedule_read(this->retry_delay);
 }
 
-follower::follower(event_base* base, platform::store& from, read_options how,
-                   follower_events events)
-    : impl(std::make_unique<state>(base, from, std::move(how),
+follower::follower(event_base* base, platform::store& store,
+                   read_options options, follower_events events)
+    : impl(std::make_unique<state>(base, store, std::move(options),
                                    std::move(events)))
 {
 }
@@ -212,16 +212,16 @@
     return this->impl->copy;
 }
 
-void follower::apply(listing const& from, std::uint64_t since,
-                     mono_time proven_at)
+void follower::apply(listing const& list, std::uint64_t since,
+                     mono_time confirmed_at)
 {
     this->impl->notify(
-        on_peer_records(this->impl->copy, from, since, proven_at));
+        on_peer_records(this->impl->copy, list, since, confirmed_at));
 }
 
-void follower::confirm(std::uint64_t end, mono_time proven_at)
+void follower::confirm(std::uint64_t end, mono_time confirmed_at)
 {
-    on_confirmation(this->impl->copy, end, proven_at);
+    on_confirmation(this->impl->copy, end, confirmed_at);
 }
 
 } // namespace jujubestand::follow
--- a/jujubestand/follow/follower.hpp
+++ b/jujubestand/follow/follower.hpp
@@ -47,7 +47,7 @@
 class follower
 {
 public:
-    follower(event_base* base, platform::store& from, read_options how,
+    follower(event_base* base, platform::store& store, read_options options,
              follower_events events);
     ~follower();
     follower(follower const&) = delete;
@@ -67,11 +67,12 @@
 
     /// \brief Applies records from another process; see
     /// `follow::on_peer_records`.
-    void apply(listing const& from, std::uint64_t since, mono_time proven_at);
+    void apply(listing const& list, std::uint64_t since,
+               mono_time confirmed_at);
 
     /// \brief Applies a confirmation from another process; see
     /// `follow::on_confirmation`.
-    void confirm(std::uint64_t end, mono_time proven_at);
+    void confirm(std::uint64_t end, mono_time confirmed_at);
 
 private:
     struct state;
--- a/jujubestand/follow/topic.cpp
+++ b/jujubestand/follow/topic.cpp
@@ -26,21 +26,21 @@
 
 // Removes the keys that are not in the list and were not written after it was
 // created.
-std::vector<record> remove_unlisted(topic& state, listing const& from)
+std::vector<record> remove_unlisted(topic& state, listing const& list)
 {
     std::set<std::string> listed;
-    for (auto const& row : from.records)
+    for (auto const& row : list.records)
         listed.insert(row.key);
     std::vector<record> removed;
     for (auto& [key, known] : state.newest)
     {
-        if (known.value.empty() || known.offset >= from.end ||
+        if (known.value.empty() || known.offset >= list.end ||
             listed.contains(key))
             continue;
         // The removal gets the last offset of the list, so that
         // `changes_since` an earlier offset includes it.
         known.value.clear();
-        known.offset = from.end - 1;
+        known.offset = list.end - 1;
         removed.push_back(known);
     }
     return removed;
@@ -48,27 +48,27 @@
 
 } // namespace
 
-std::vector<record> on_listing(topic& state, listing const& from,
-                               mono_time asked_at)
+std::vector<record> on_listing(topic& state, listing const& list,
+                               mono_time requested_at)
 {
-    if (from.end < state.next)
+    if (list.end < state.next)
         return {};
     std::vector<record> changes;
-    for (auto const& row : from.records)
+    for (auto const& row : list.records)
     {
         if (apply_record(state, row))
             changes.push_back(row);
     }
-    for (auto& row : remove_unlisted(state, from))
+    for (auto& row : remove_unlisted(state, list))
         changes.push_back(std::move(row));
-    state.next = from.end;
+    state.next = list.end;
     state.is_listed = true;
-    confirm(state, asked_at);
+    confirm(state, requested_at);
     return changes;
 }
 
 std::vector<record> on_page(topic& state, read_page const& page,
-                            mono_time asked_at)
+                            mono_time requested_at)
 {
     if (page.end < state.next)
         return {};
@@ -82,14 +82,14 @@
     // A page may end before the topic does; only the last page confirms that
     // the copy is current.
     if (state.next >= page.end)
-        confirm(state, asked_at);
+        confirm(state, requested_at);
     return changes;
 }
 
-void on_confirmation(topic& state, std::uint64_t end, mono_time proven_at)
+void on_confirmation(topic& state, std::uint64_t end, mono_time confirmed_at)
 {
     if (state.is_listed && state.next >= end)
-        confirm(state, proven_at);
+        confirm(state, confirmed_at);
 }
 
 std::size_t live_keys(topic const& state)
@@ -114,21 +114,21 @@
     return result;
 }
 
-std::vector<record> on_peer_records(topic& state, listing const& from,
-                                    std::uint64_t since, mono_time proven_at)
+std::vector<record> on_peer_records(topic& state, listing const& list,
+                                    std::uint64_t since, mono_time confirmed_at)
 {
     bool const has_gap = since > state.next || (since > 0 && !state.is_listed);
-    if (has_gap || from.end < state.next)
+    if (has_gap || list.end < state.next)
         return {};
     std::vector<record> changes;
-    for (auto const& row : from.records)
+    for (auto const& row : list.records)
     {
         if (apply_record(state, row))
             changes.push_back(row);
     }
-    state.next = from.end;
+    state.next = list.end;
     state.is_listed = true;
-    confirm(state, proven_at);
+    confirm(state, confirmed_at);
     return changes;
 }
 
--- a/jujubestand/follow/topic.hpp
+++ b/jujubestand/follow/topic.hpp
@@ -60,18 +60,18 @@
 /// A list that ends before `state.next` is outdated and is ignored. A key that
 /// is not in the list was removed, unless its record has an offset at or after
 /// the end of the list.
-/// \param asked_at when the list was requested
+/// \param requested_at when the list was requested
 /// \returns the changed records; removed keys have an empty value
-std::vector<record> on_listing(topic& state, listing const& from,
-                               mono_time asked_at);
+std::vector<record> on_listing(topic& state, listing const& list,
+                               mono_time requested_at);
 
 /// \brief Applies records read from `state.next` on.
 std::vector<record> on_page(topic& state, read_page const& page,
-                            mono_time asked_at);
+                            mono_time requested_at);
 
-/// \brief Applies another process's confirmation that at `proven_at`, by the
+/// \brief Applies another process's confirmation that at `confirmed_at`, by the
 /// local clock, no record existed from `end` on.
-void on_confirmation(topic& state, std::uint64_t end, mono_time proven_at);
+void on_confirmation(topic& state, std::uint64_t end, mono_time confirmed_at);
 
 /// \brief Number of keys without the removed ones.
 [[nodiscard]] std::size_t live_keys(topic const& state);
@@ -82,8 +82,9 @@
 
 /// \brief Applies the result of `changes_since` of another process.
 /// \param since requested offset; a list that leaves a gap is ignored
-std::vector<record> on_peer_records(topic& state, listing const& from,
-                                    std::uint64_t since, mono_time proven_at);
+std::vector<record> on_peer_records(topic& state, listing const& list,
+                                    std::uint64_t since,
+                                    mono_time confirmed_at);
 
 /// \brief Upper bound of the copy's staleness; empty if it was never
 /// confirmed.
