--- a/jujubestand/agent/answers.cpp
+++ b/jujubestand/agent/answers.cpp
@@ -54,7 +54,7 @@
     return response;
 }
 
-// Applies what the request says about the engine; gateways read it from the
+// Applies the data about the engine in a request; gateways read them from the
 // store.
 void apply_request(agent_state& state, status::status_request const& request,
                    mono_time now)
@@ -83,7 +83,7 @@
 
 } // namespace
 
-// Gateways must learn of such a change before their next status request.
+// Gateways need such a change sooner than their next status request brings it.
 void notify_gateways(agent_state& state)
 {
     auto const now = mono_now();
--- a/jujubestand/agent/rollout.hpp
+++ b/jujubestand/agent/rollout.hpp
@@ -48,7 +48,7 @@
     std::optional<mono_time> requested_at;
     /// False if the version may have been requested before `requested_at`.
     bool is_age_known = true;
-    /// Gateways have been told to stop sending calls.
+    /// Gateways have been notified to stop sending calls.
     bool is_notice_given = false;
     mono_time notice_at{};
 };
