--- a/jujubestand/dispatch/choice.cpp
+++ b/jujubestand/dispatch/choice.cpp
@@ -130,8 +130,9 @@
 }
 
 // Prompt tokens that an engine has yet to prefill. The engine's report covers
-// the calls of all gateways; of the sends since then, a gateway knows only its
-// own. It assumes that the others send alike, most of all when calls wait.
+// the calls of all gateways; of the sends since then, a gateway has only its
+// own. It assumes that the sends of the others correlate with these, fully so
+// while calls wait.
 double prefill_backlog(state const& dispatcher, upstream const& target,
                        send_tally const& in_flight)
 {
--- a/jujubestand/dispatch/test/upstreams_test.cpp
+++ b/jujubestand/dispatch/test/upstreams_test.cpp
@@ -26,8 +26,8 @@
     EXPECT_LT(recent_failures(dispatcher, failing, at(20'000)), 0.1);
 }
 
-// When engines restarted, the older of two records of one address was taken for
-// the engine, so that no order or call reached it.
+// After engines restarted, the older of two records with the same address was
+// used, so that no command or call reached the engine.
 TEST(upstreams, the_upstream_that_started_last_has_the_address)
 {
     auto dispatcher = fleet(2);
@@ -75,7 +75,7 @@
     EXPECT_EQ(submit(dispatcher, retried, at(10)).next_action, action::hold);
 }
 
-// A stream that was moved off an engine before a load of weights and then had
+// A stream that was migrated off an engine before a weights load and then had
 // to queue stalled for over a second, and was lost when its gateway stopped.
 TEST(upstreams, a_call_has_no_alternative_while_no_other_is_available)
 {
--- a/jujubestand/dispatch/types.hpp
+++ b/jujubestand/dispatch/types.hpp
@@ -32,7 +32,7 @@
 {
     /// Prefill speed of an engine.
     double prefill_tokens_per_ms = 40;
-    /// Limit of an engine's prefill backlog, as the time to work it off.
+    /// Limit of an engine's prefill backlog, as the time to prefill it.
     double prefill_backlog_limit_ms = 220;
     /// Cost of each running call, since it slows all steps of the engine.
     double running_cost_ms = 0.7;
@@ -90,7 +90,7 @@
 {
     status::engine_report report;
     mono_time reported_at{};
-    /// The agent can't reach the engine.
+    /// The agent cannot reach the engine.
     bool is_down = false;
     /// The engine is about to load weights and would refuse new calls.
     bool is_preparing = false;
--- a/jujubestand/dispatch/upstreams.cpp
+++ b/jujubestand/dispatch/upstreams.cpp
@@ -120,7 +120,7 @@
     }
     if (is_new)
         mark_replaced(dispatcher, target, record);
-    // A leaving upstream stays leaving until its process restarts.
+    // An upstream that is leaving keeps that state until its process restarts.
     bool const was_leaving = target.record.is_leaving && !is_restarted;
     target.record = record;
     target.record.is_leaving = record.is_leaving || was_leaving;
--- a/jujubestand/dispatch/upstreams.hpp
+++ b/jujubestand/dispatch/upstreams.hpp
@@ -15,8 +15,7 @@
 /// \brief Removes an upstream that is no longer registered.
 void on_upstream_removed(state& dispatcher, std::string const& id);
 
-/// \brief Handles the refusal of a call by an upstream that it was not meant
-/// for.
+/// \brief Handles the refusal of a call that was sent to the wrong upstream.
 void on_misdirected(state& dispatcher, upstream_key target_key);
 
 /// \brief Stores the latest load report of an engine.
--- a/jujubestand/gateway/beliefs.cpp
+++ b/jujubestand/gateway/beliefs.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Run time after which new records are assumed to arrive as they are written.
+/// Uptime after which new records are assumed to arrive as they are written.
 constexpr std::chrono::milliseconds settled_after{3'000};
 constexpr std::chrono::milliseconds load_time_at_start{2'500};
 
--- a/jujubestand/gateway/calls.cpp
+++ b/jujubestand/gateway/calls.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::milliseconds not_fresh_pause{500};
 
-/// Retry-After while draining: callers may turn to another gateway at once.
+/// Retry-After while draining: callers may retry at another gateway at once.
 constexpr std::chrono::milliseconds stopping_pause{50};
 
 /// Time after the start of a drain during which all calls are accepted.
@@ -28,7 +28,7 @@
 constexpr std::chrono::milliseconds review_interval{15};
 
 /// Record age up to which an unknown route or key is reported as such. With
-/// older records it may not have been read yet, and the caller is told to
+/// older records it may not have been received yet, and the caller should
 /// retry.
 constexpr std::chrono::milliseconds unknown_age_limit{2'500};
 
--- a/jujubestand/gateway/event_stream.hpp
+++ b/jujubestand/gateway/event_stream.hpp
@@ -16,7 +16,7 @@
     std::string partial;
     /// Highest id that was forwarded.
     std::optional<std::uint64_t> last_id;
-    /// An event came out of order; nothing more may be passed on.
+    /// An event arrived out of order; no further event may be forwarded.
     bool is_broken = false;
 };
 
--- a/jujubestand/gateway/gateway.cpp
+++ b/jujubestand/gateway/gateway.cpp
@@ -139,7 +139,7 @@
            state.records_server->listen(own, why);
 }
 
-// Runs on a timer, since record age, lapses and deadlines change without any
+// Runs on a timer, since record age, expiries and deadlines change without any
 // event.
 void on_tick(gateway_state& state)
 {
--- a/jujubestand/gateway/part_stores.hpp
+++ b/jujubestand/gateway/part_stores.hpp
@@ -7,8 +7,8 @@
 namespace jujubestand::gateway
 {
 
-/// \brief Polls the events of every store. Called on the gateways that read
-/// for the others.
+/// \brief Polls the events of every store. Called only on the gateways that
+/// read the store, which share the contents with the others.
 void poll_part_stores(gateway_state& state, mono_time now);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/questions.cpp
+++ b/jujubestand/gateway/questions.cpp
@@ -12,7 +12,7 @@
 /// lengthen the queue of answers on a narrow link.
 constexpr std::chrono::milliseconds answer_wait{400};
 
-/// Silence after which another reader is followed.
+/// Time without an answer after which another reader is followed.
 constexpr std::chrono::milliseconds reader_silence{1'000};
 
 } // namespace
--- a/jujubestand/gateway/sends.cpp
+++ b/jujubestand/gateway/sends.cpp
@@ -31,7 +31,7 @@
     return status >= first_success && status < first_redirect;
 }
 
-// Statuses that tell the caller that the call did not run. An upstream response
+// Statuses that guarantee that the call did not run. An upstream response
 // with such a status that does not guarantee this must not be forwarded.
 bool promises_not_run(int status)
 {
--- a/jujubestand/retries/circuit.hpp
+++ b/jujubestand/retries/circuit.hpp
@@ -34,7 +34,7 @@
     {circuit_mode::half_open, "half_open"},
 }};
 
-/// \brief Circuit breaker of one upstream at one entry.
+/// \brief Circuit breaker of one upstream at one gateway.
 struct circuit
 {
     circuit_mode mode = circuit_mode::closed;
--- a/jujubestand/retries/retry.hpp
+++ b/jujubestand/retries/retry.hpp
@@ -16,7 +16,7 @@
     std::uint32_t attempts_limit = 4;
     /// Retries and hedges per first attempt, in the long run.
     double budget_ratio = 0.1;
-    /// Most retries that an entry can save up.
+    /// Maximum balance of the retry budget.
     double budget_limit = 20.0;
     /// Retries allowed per second, however little traffic there is.
     double budget_per_second = 0.5;
@@ -25,13 +25,13 @@
     /// Retries with less time than this before the deadline are not made.
     std::chrono::milliseconds time_left_min{20};
     /// A hedge starts when the first token takes longer than this multiple of
-    /// the time that nearly all first tokens come within.
+    /// a high percentile of the time to first token.
     double hedge_factor = 2.0;
     std::chrono::milliseconds hedge_delay_min{50};
 };
 
 /// \brief Token bucket of retries, bounded by `budget_limit`. Starts full, so
-/// that a restarted entry can retry through a failure.
+/// that a restarted gateway can retry during a failure.
 struct retry_budget
 {
     double tokens = 20.0;
@@ -87,7 +87,7 @@
 
 /// \brief Whether a hedge, which is a second attempt in parallel to the first,
 /// may start; spends budget if so.
-/// \param first_token_usual time that nearly all first tokens come within
+/// \param first_token_usual high percentile of the time to first token
 [[nodiscard]] bool may_hedge(retry_budget& budget, retry_options const& options,
                              request_progress const& progress,
                              microseconds waited,
