--- a/jujubestand/dispatch/test/dispatch_test.cpp
+++ b/jujubestand/dispatch/test/dispatch_test.cpp
@@ -154,7 +154,7 @@
 
 // After a change of weights, engines still on the old weights prefilled shared
 // parts again that other engines had prefilled before and dropped on loading.
-TEST(dispatch, shared_parts_are_read_on_the_new_weights_of_a_busier_engine)
+TEST(dispatch, shared_parts_are_prefilled_on_the_new_weights_of_a_busier_engine)
 {
     auto dispatcher = fleet(2);
     on_wanted_weights(dispatcher, "m", 2, at(0));
@@ -260,7 +260,7 @@
     EXPECT_GT(result.retry_after.count(), 0);
 }
 
-TEST(dispatch, a_queue_that_is_too_long_refuses_newcomers_at_once)
+TEST(dispatch, a_full_queue_refuses_new_calls_immediately)
 {
     auto dispatcher = fleet(1);
     bool was_refused = false;
@@ -272,7 +272,7 @@
     EXPECT_LT(dispatcher.waiting.size(), 100U);
 }
 
-TEST(dispatch, a_waiting_call_is_refused_when_its_time_is_over)
+TEST(dispatch, a_waiting_call_is_refused_at_its_deadline)
 {
     auto dispatcher = fleet(1);
     engine(dispatcher, 1).load->is_preparing = true;
--- a/jujubestand/dispatch/test/upstreams_test.cpp
+++ b/jujubestand/dispatch/test/upstreams_test.cpp
@@ -44,7 +44,7 @@
     EXPECT_EQ(find_by_host(dispatcher, "10.0.0.1")->record.id, "a-later-one");
 }
 
-TEST(upstreams, an_upstream_that_was_misdirected_to_gets_no_more_calls)
+TEST(upstreams, a_misdirected_call_excludes_the_upstream)
 {
     auto dispatcher = fleet(1);
     on_misdirected(dispatcher, engine(dispatcher, 1).key);
--- a/jujubestand/gateway/agents.cpp
+++ b/jujubestand/gateway/agents.cpp
@@ -2,7 +2,7 @@
 
 #include <jujubestand/dispatch/upstreams.hpp>
 #include <jujubestand/gateway/calls.hpp>
-#include <jujubestand/gateway/moves.hpp>
+#include <jujubestand/gateway/migration.hpp>
 #include <jujubestand/gateway/peers.hpp>
 #include <jujubestand/status/messages.hpp>
 #include <map>
@@ -13,54 +13,55 @@
 namespace
 {
 
-dispatch::engine_load to_load(status::status_response const& from,
+dispatch::engine_load to_load(status::status_response const& response,
                               mono_time now)
 {
     dispatch::engine_load load;
-    load.reported_at = now - std::chrono::milliseconds{from.report_age_ms};
-    load.is_down = !from.is_engine_reachable;
-    load.is_preparing = from.is_preparing;
-    if (from.load_due_us >= 0)
-        load.load_due_at = now + microseconds{from.load_due_us};
-    load.report.is_busy = from.is_busy;
-    load.report.versions = from.versions;
-    load.report.queued = from.queued;
-    load.report.running = from.running;
-    load.report.prefilling = from.prefilling;
-    load.report.memory_used = from.memory_used;
-    load.report.memory_total = from.memory_total;
+    load.reported_at = now - std::chrono::milliseconds{response.report_age_ms};
+    load.is_down = !response.is_engine_reachable;
+    load.is_preparing = response.is_preparing;
+    if (response.load_due_us >= 0)
+        load.load_due_at = now + microseconds{response.load_due_us};
+    load.report.is_busy = response.is_busy;
+    load.report.versions = response.versions;
+    load.report.queued = response.queued;
+    load.report.running = response.running;
+    load.report.prefilling = response.prefilling;
+    load.report.memory_used = response.memory_used;
+    load.report.memory_total = response.memory_total;
     return load;
 }
 
 void apply_proof(gateway_state& state, std::string const& host,
-                 status::status_response const& from)
+                 status::status_response const& response)
 {
-    if (from.staleness_us < 0 || from.request_sent_at_us == 0)
+    if (response.staleness_us < 0 || response.request_sent_at_us == 0)
         return;
-    auto const proven_at =
-        mono_time{microseconds{from.request_sent_at_us - from.staleness_us}};
+    auto const proven_at = mono_time{
+        microseconds{response.request_sent_at_us - response.staleness_us}};
     auto const& known = state.operator_topic->known();
-    if (!known.is_listed || from.operator_end > known.next)
+    if (!known.is_listed || response.operator_end > known.next)
         fetch_records(state, host, *state.operator_topic, operator_records_path,
                       known.is_listed ? known.next : 0, proven_at);
     else
-        state.operator_topic->confirm(from.operator_end, proven_at);
+        state.operator_topic->confirm(response.operator_end, proven_at);
 }
 
 /// Data on an engine that is sent to its agent.
-struct engine_place
+struct engine_query_data
 {
     std::string id;
     status::cache_position cache;
-    std::uint32_t place = 0;
-    std::uint32_t engines = 1;
+    std::uint32_t index = 0;
+    std::uint32_t engine_count = 1;
 };
 
 // Engines are numbered in order of their ids, which all gateways share.
-std::map<std::string, engine_place> engines_by_host(gateway_state const& state)
+std::map<std::string, engine_query_data>
+engines_by_host(gateway_state const& state)
 {
     std::map<std::string, std::uint32_t> pools;
-    std::map<std::string, engine_place> hosts;
+    std::map<std::string, engine_query_data> hosts;
     for (auto const& [id, key] : state.dispatch.keys_by_id)
     {
         auto const& known_upstream = state.dispatch.upstreams.at(key);
@@ -77,7 +78,7 @@
     {
         auto const& known_upstream = state.dispatch.upstreams.at(
             state.dispatch.keys_by_id.at(engine.id));
-        engine.engines = pools[known_upstream.record.pool];
+        engine.engine_count = pools[known_upstream.record.pool];
     }
     return hosts;
 }
@@ -86,32 +87,32 @@
 
 void query_agents(gateway_state& state)
 {
-    status::status_request question;
+    status::status_request query;
     auto const now = mono_now();
     auto const& known = state.operator_topic->known();
-    question.sent_at_us = to_us(now);
-    question.operator_end = known.next;
+    query.sent_at_us = to_us(now);
+    query.operator_end = known.next;
     for (auto const& [model, wanted] : state.dispatch.weights)
-        question.requested_versions[model] = wanted.version;
+        query.requested_versions[model] = wanted.version;
     if (auto const age = follow::staleness(known, now))
-        question.staleness_us = age->count();
-    question.gateway = state.settings.name;
-    question.link_mbps = state.settings.link_mbps;
-    question.gateways_hash = status::hash_of(state.gateway_hosts);
+        query.staleness_us = age->count();
+    query.gateway = state.settings.name;
+    query.link_mbps = state.settings.link_mbps;
+    query.gateways_hash = status::hash_of(state.gateway_hosts);
     for (auto const& [host, engine] : engines_by_host(state))
     {
         if (!begin_query(state.status_queries, host, now))
             continue;
-        question.cache = engine.cache;
-        question.upstream = engine.id;
-        question.pool_index = engine.place;
-        question.pool_size = engine.engines;
+        query.cache = engine.cache;
+        query.upstream = engine.id;
+        query.pool_index = engine.index;
+        query.pool_size = engine.engine_count;
         state.datagrams->send(address{host, state.settings.internal_port},
-                              status::to_datagram(question));
+                              status::to_datagram(query));
     }
 }
 
-void on_agent_datagram(gateway_state& state, address const& from,
+void on_agent_datagram(gateway_state& state, address const& sender,
                        std::string_view bytes)
 {
     auto const answer = status::from_datagram<status::status_response>(bytes);
@@ -119,9 +120,9 @@
         return;
     auto const now = mono_now();
     if (answer->request_sent_at_us != 0)
-        on_query_answered(state.status_queries, from.host);
+        on_query_answered(state.status_queries, sender.host);
     auto const* const known_upstream =
-        dispatch::find_by_host(state.dispatch, from.host);
+        dispatch::find_by_host(state.dispatch, sender.host);
     if (known_upstream != nullptr)
     {
         bool const was_preparing =
@@ -139,7 +140,7 @@
         state.dispatch.gateways =
             static_cast<std::uint32_t>(answer->gateways.size());
     }
-    apply_proof(state, from.host, *answer);
+    apply_proof(state, sender.host, *answer);
     schedule_review(state);
 }
 
--- a/jujubestand/gateway/agents.hpp
+++ b/jujubestand/gateway/agents.hpp
@@ -13,7 +13,7 @@
 void query_agents(gateway_state& state);
 
 /// \brief Handles a status datagram from an agent.
-void on_agent_datagram(gateway_state& state, address const& from,
+void on_agent_datagram(gateway_state& state, address const& sender,
                        std::string_view bytes);
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/beliefs.cpp
+++ b/jujubestand/gateway/apply_records.cpp
@@ -1,4 +1,4 @@
-#include <jujubestand/gateway/beliefs.hpp>
+#include <jujubestand/gateway/apply_records.hpp>
 
 #include <algorithm>
 #include <jujubestand/dispatch/upstreams.hpp>
@@ -13,7 +13,7 @@
 {
 
 /// Uptime after which new records are assumed to arrive as they are written.
-constexpr std::chrono::milliseconds settled_after{3'000};
+constexpr std::chrono::milliseconds settled_uptime{3'000};
 constexpr std::chrono::milliseconds load_time_at_start{2'500};
 
 /// Part of the key removal bound reserved for the transfer to the upstream.
@@ -29,12 +29,12 @@
 
 void apply_limits(gateway_state& state)
 {
-    auto const& from = state.tables->limits;
+    auto const& configured = state.tables->limits;
     http1::server_limits limits;
-    limits.message.head_bytes = from.head_bytes;
-    limits.message.body_bytes = from.body_bytes;
-    limits.head_timeout = from.head_timeout;
-    limits.idle_timeout = from.idle_timeout;
+    limits.message.head_bytes = configured.head_bytes;
+    limits.message.body_bytes = configured.body_bytes;
+    limits.head_timeout = configured.head_timeout;
+    limits.idle_timeout = configured.idle_timeout;
     state.caller_server->set_limits(limits);
 }
 
@@ -80,9 +80,9 @@
 
 // Weights read at startup may have been set long before. Older weights are then
 // accepted only for the time that the engines take to load the new ones.
-mono_time named_since(gateway_state const& state, mono_time now)
+mono_time requested_since(gateway_state const& state, mono_time now)
 {
-    if (now - state.started_at > settled_after)
+    if (now - state.started_at > settled_uptime)
         return now;
     return now - std::max<microseconds>(state.dispatch.limits.weights_lag -
                                             load_time_at_start,
@@ -92,18 +92,20 @@
 void apply_weights(gateway_state& state, follow::record const& row)
 {
     reason why;
-    auto const wanted = platform::decode_weights(row.value, why);
-    if (!wanted)
+    auto const requested = platform::decode_weights(row.value, why);
+    if (!requested)
     {
         reject(state, row, why);
         return;
     }
-    dispatch::on_wanted_weights(state.dispatch, wanted->model, wanted->version,
-                                named_since(state, mono_now()));
-    state.log->write(event_number::weights_wanted, {},
-                     {{"model", wanted->model},
-                      {"version", static_cast<std::int64_t>(wanted->version)},
-                      {"offset", static_cast<std::int64_t>(row.offset)}});
+    dispatch::on_wanted_weights(state.dispatch, requested->model,
+                                requested->version,
+                                requested_since(state, mono_now()));
+    state.log->write(
+        event_number::weights_wanted, {},
+        {{"model", requested->model},
+         {"version", static_cast<std::int64_t>(requested->version)},
+         {"offset", static_cast<std::int64_t>(row.offset)}});
 }
 
 void remove_upstream(gateway_state& state, std::string const& id)
--- a/jujubestand/gateway/beliefs.hpp
+++ b/jujubestand/gateway/apply_records.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBESTAND_GATEWAY_BELIEFS_HPP
-#define JUJUBESTAND_GATEWAY_BELIEFS_HPP
+#ifndef JUJUBESTAND_GATEWAY_APPLY_RECORDS_HPP
+#define JUJUBESTAND_GATEWAY_APPLY_RECORDS_HPP
 
 #include <jujubestand/follow/topic.hpp>
 #include <jujubestand/gateway/state.hpp>
--- a/jujubestand/gateway/calls.cpp
+++ b/jujubestand/gateway/calls.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 #include <jujubestand/dispatch/upstreams.hpp>
-#include <jujubestand/gateway/beliefs.hpp>
-#include <jujubestand/gateway/repeats.hpp>
+#include <jujubestand/gateway/apply_records.hpp>
+#include <jujubestand/gateway/retries.hpp>
 #include <jujubestand/gateway/sends.hpp>
 #include <platform/calls.hpp>
 
@@ -13,16 +13,16 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds not_fresh_pause{500};
+constexpr std::chrono::milliseconds stale_tables_retry_after{500};
 
 /// Retry-After while draining: callers may retry at another gateway at once.
-constexpr std::chrono::milliseconds stopping_pause{50};
+constexpr std::chrono::milliseconds draining_retry_after{50};
 
 /// Time after the start of a drain during which all calls are accepted.
-constexpr std::chrono::milliseconds stop_free_time{2'500};
+constexpr std::chrono::milliseconds drain_accept_time{2'500};
 
 /// Longest time allowed for a call that is not a model request.
-constexpr std::chrono::milliseconds plain_call_time{3'000};
+constexpr std::chrono::milliseconds plain_call_time_limit{3'000};
 
 /// Interval at which waiting calls are re-evaluated.
 constexpr std::chrono::milliseconds review_interval{15};
@@ -32,13 +32,13 @@
 /// retry.
 constexpr std::chrono::milliseconds unknown_age_limit{2'500};
 
-problem not_fresh()
+problem stale_tables_problem()
 {
     problem error;
     error.why = reason{reason_code::tables_stale,
                        "keys and routes are not confirmed current",
                        {}};
-    error.retry_after = not_fresh_pause;
+    error.retry_after = stale_tables_retry_after;
     return error;
 }
 
@@ -56,31 +56,31 @@
                          mono_time now)
 {
     auto const age = follow::staleness(state.operator_topic->known(), now);
-    return age && *age <= unknown_age_limit ? error : not_fresh();
+    return age && *age <= unknown_age_limit ? error : stale_tables_problem();
 }
 
-dispatch::call terms_of(active_call const& call, dispatch::call_key key,
-                        std::string_view pool)
+dispatch::call to_dispatch_call(active_call const& call, dispatch::call_key key,
+                                std::string_view pool)
 {
-    dispatch::call terms;
-    terms.key = key;
-    terms.pool = pool;
+    dispatch::call result;
+    result.key = key;
+    result.pool = pool;
     if (call.route.has_prompts)
-        terms.model_prompt = call.caller_request.asked;
-    terms.cache_owner =
+        result.model_prompt = call.caller_request.asked;
+    result.cache_owner =
         call.team.is_isolated ? "team " + call.team.name : "all";
-    terms.priority = call.team.priority.value_or(call.route.priority);
-    terms.arrived_at = call.arrived_at;
-    terms.deadline = call.deadline;
-    terms.target_latency = call.route.target_latency;
-    return terms;
+    result.priority = call.team.priority.value_or(call.route.priority);
+    result.arrived_at = call.arrived_at;
+    result.deadline = call.deadline;
+    result.target_latency = call.route.target_latency;
+    return result;
 }
 
-problem stopping()
+problem draining_problem()
 {
     problem error;
     error.why = reason{reason_code::draining, "gateway is draining", {}};
-    error.retry_after = stopping_pause;
+    error.retry_after = draining_retry_after;
     return error;
 }
 
@@ -92,17 +92,18 @@
     if (!state.is_draining)
         return true;
     auto const since = call.arrived_at - state.drain_started_at;
-    if (since < stop_free_time)
+    if (since < drain_accept_time)
         return true;
-    auto const left = state.settings.limits.stop_grace - since;
-    return !call.dispatch_call.model_prompt && left > plain_call_time;
+    auto const remaining = state.settings.limits.stop_grace - since;
+    return !call.dispatch_call.model_prompt &&
+           remaining > plain_call_time_limit;
 }
 
 void accept_call(gateway_state& state, active_call call)
 {
     auto const key = ++state.last_call_key;
     auto const pool = traffic::choose_pool(call.route, state.random_engine());
-    call.dispatch_call = terms_of(call, key, pool);
+    call.dispatch_call = to_dispatch_call(call, key, pool);
     retries::record_request(state.retry_budgets[call.dispatch_call.pool],
                             retry_options_of(state), call.arrived_at);
     retries::record_request(
@@ -118,14 +119,14 @@
     if (!ends_before_stop(state, call))
     {
         refuse_request(state, call.exchange, call.caller_request.request_id,
-                       stopping());
+                       draining_problem());
         return;
     }
     state.call_by_exchange[call.exchange] = key;
-    auto const terms = call.dispatch_call;
+    auto const submitted = call.dispatch_call;
     state.active_calls.emplace(key, std::move(call));
     auto const dispatch_decision =
-        dispatch::submit(state.dispatch, terms, mono_now());
+        dispatch::submit(state.dispatch, submitted, mono_now());
     apply_decision(state, dispatch_decision);
     schedule_review(state);
 }
@@ -149,7 +150,7 @@
     auto const& id = call.caller_request.request_id;
     if (!check_freshness(state, call.arrived_at))
     {
-        refuse_request(state, exchange, id, not_fresh());
+        refuse_request(state, exchange, id, stale_tables_problem());
         return;
     }
     auto const* const route = traffic::find_route(
--- a/jujubestand/gateway/event_stream.cpp
+++ b/jujubestand/gateway/event_stream.cpp
@@ -48,7 +48,7 @@
     return std::nullopt;
 }
 
-bool was_passed_on(event_stream const& state, std::optional<std::uint64_t> id)
+bool was_forwarded(event_stream const& state, std::optional<std::uint64_t> id)
 {
     return id && state.last_id && *id <= *state.last_id;
 }
@@ -57,23 +57,23 @@
 
 std::string on_bytes(event_stream& state, std::string_view bytes)
 {
-    std::string passed;
+    std::string forwarded;
     state.partial += bytes;
-    std::string_view left = state.partial;
-    while (std::size_t const size = first_event_bytes(left))
+    std::string_view remaining = state.partial;
+    while (std::size_t const size = first_event_bytes(remaining))
     {
-        auto const event = left.substr(0, size);
+        auto const event = remaining.substr(0, size);
         auto const id = id_of(event);
-        left.remove_prefix(size);
-        if (was_passed_on(state, id))
+        remaining.remove_prefix(size);
+        if (was_forwarded(state, id))
             continue;
-        passed += event;
+        forwarded += event;
         if (id)
             state.last_id = id;
     }
-    state.partial.erase(0, state.partial.size() - left.size());
+    state.partial.erase(0, state.partial.size() - remaining.size());
     state.is_broken = state.partial.size() > event_limit_bytes;
-    return passed;
+    return forwarded;
 }
 
 void discard_partial_event(event_stream& state)
--- a/jujubestand/gateway/gateway.cpp
+++ b/jujubestand/gateway/gateway.cpp
@@ -3,10 +3,10 @@
 #include <csignal>
 #include <event2/event.h>
 #include <jujubestand/gateway/agents.hpp>
-#include <jujubestand/gateway/beliefs.hpp>
+#include <jujubestand/gateway/apply_records.hpp>
 #include <jujubestand/gateway/calls.hpp>
 #include <jujubestand/gateway/peers.hpp>
-#include <jujubestand/gateway/repeats.hpp>
+#include <jujubestand/gateway/retries.hpp>
 #include <jujubestand/loop/signals.hpp>
 #include <platform/names.hpp>
 #include <unistd.h>
@@ -81,10 +81,10 @@
         follower_events_of(state, "upstreams", apply_upstream_records));
     state.datagrams = std::make_unique<loop::datagrams>(
         state.base,
-        [&state](address const& from, std::string_view bytes)
+        [&state](address const& sender, std::string_view bytes)
         {
-            on_agent_datagram(state, from, bytes);
-            on_peer_datagram(state, from, bytes);
+            on_agent_datagram(state, sender, bytes);
+            on_peer_datagram(state, sender, bytes);
         });
 }
 
--- a/jujubestand/gateway/moves.cpp
+++ b/jujubestand/gateway/migration.cpp
@@ -1,8 +1,8 @@
-#include <jujubestand/gateway/moves.hpp>
+#include <jujubestand/gateway/migration.hpp>
 
 #include <jujubestand/dispatch/dispatch.hpp>
 #include <jujubestand/dispatch/upstreams.hpp>
-#include <jujubestand/gateway/repeats.hpp>
+#include <jujubestand/gateway/retries.hpp>
 #include <jujubestand/gateway/sends.hpp>
 
 namespace jujubestand::gateway
@@ -12,24 +12,24 @@
 {
 
 // Migrations leave half of the retry budget to failed attempts.
-bool can_afford_move(gateway_state& state, active_call const& call)
+bool can_afford_migration(gateway_state& state, active_call const& call)
 {
     return state.retry_budgets[call.dispatch_call.pool].tokens >=
            retry_options_of(state).budget_limit / 2;
 }
 
-void move_stream(gateway_state& state, dispatch::call_key key)
+void migrate_stream(gateway_state& state, dispatch::call_key key)
 {
     active_call* const call = find_call(state, key);
     auto const now = mono_now();
-    bool const is_movable = call != nullptr && !state.is_draining &&
-                            call->route.kind == traffic::call_kind::stream &&
-                            is_retryable(*call);
-    if (!is_movable ||
+    bool const is_migratable = call != nullptr && !state.is_draining &&
+                               call->route.kind == traffic::call_kind::stream &&
+                               is_retryable(*call);
+    if (!is_migratable ||
         !dispatch::has_alternative(state.dispatch, call->dispatch_call,
                                    call->upstream_key, now) ||
         call->possible_runs + 1 >= call->route.attempts_limit ||
-        !can_afford_move(state, *call) ||
+        !can_afford_migration(state, *call) ||
         acquire_retry(state, *call, dispatch::send_outcome::cancelled, now) !=
             reason_code::none)
         return;
@@ -44,16 +44,16 @@
 
 } // namespace
 
-void migrate_streams(gateway_state& state, dispatch::upstream_key from)
+void migrate_streams(gateway_state& state, dispatch::upstream_key source)
 {
-    std::vector<dispatch::call_key> moved;
+    std::vector<dispatch::call_key> keys;
     for (auto const& [key, attempt] : state.dispatch.sends)
     {
-        if (attempt.upstream == from)
-            moved.push_back(key);
+        if (attempt.upstream == source)
+            keys.push_back(key);
     }
-    for (auto const key : moved)
-        move_stream(state, key);
+    for (auto const key : keys)
+        migrate_stream(state, key);
 }
 
 } // namespace jujubestand::gateway
--- a/jujubestand/gateway/peers.cpp
+++ b/jujubestand/gateway/peers.cpp
@@ -47,7 +47,8 @@
     return !age || *age > lag_limit;
 }
 
-status::topic_status standing_of(follow::follower const& topic, mono_time now)
+status::topic_status to_topic_status(follow::follower const& topic,
+                                     mono_time now)
 {
     status::topic_status result;
     result.end = topic.known().next;
@@ -57,37 +58,38 @@
     return result;
 }
 
-void apply_standing(gateway_state& state, std::string const& host,
-                    follow::follower& topic, char const* path,
-                    status::topic_status const& standing,
-                    std::int64_t asked_at_us)
+void apply_topic_status(gateway_state& state, std::string const& host,
+                        follow::follower& topic, char const* path,
+                        status::topic_status const& reported_status,
+                        std::int64_t query_sent_at_us)
 {
-    if (standing.staleness_us < 0)
+    if (reported_status.staleness_us < 0)
         return;
     mono_time const proven_at{
-        microseconds{asked_at_us - standing.staleness_us}};
+        microseconds{query_sent_at_us - reported_status.staleness_us}};
     auto const& known = topic.known();
-    bool const lacks_removals = standing.end == known.next &&
-                                standing.live_keys != follow::live_keys(known);
+    bool const lacks_removals =
+        reported_status.end == known.next &&
+        reported_status.live_keys != follow::live_keys(known);
     if (lacks_removals)
         fetch_records(state, host, topic, path, 0, proven_at);
-    else if (!known.is_listed || standing.end > known.next)
+    else if (!known.is_listed || reported_status.end > known.next)
         fetch_records(state, host, topic, path,
                       known.is_listed ? known.next : 0, proven_at);
     else
-        topic.confirm(standing.end, proven_at);
+        topic.confirm(reported_status.end, proven_at);
 }
 
 void apply_reported_stores(gateway_state& state, std::string const& host,
-                           status::peer_response const& from)
+                           status::peer_response const& response)
 {
     if (is_reader(state) || host != state.part_store_reader.host)
         return;
     state.part_store_reader.last_answer_at = mono_now();
     for (auto& store : state.dispatch.stores)
     {
-        auto const reported = from.stores.find(to_text(store.where));
-        if (reported == from.stores.end())
+        auto const reported = response.stores.find(to_text(store.where));
+        if (reported == response.stores.end())
             continue;
         store.is_alive = reported->second.is_alive;
         status::on_delta(store.cache, reported->second.cache);
@@ -103,14 +105,14 @@
     return known;
 }
 
-void on_peer_query(gateway_state& state, address const& from,
+void on_peer_query(gateway_state& state, address const& sender,
                    status::peer_request const& peer_query)
 {
     auto const now = mono_now();
     status::peer_response answer;
     answer.request_sent_at_us = peer_query.sent_at_us;
-    answer.operators = standing_of(*state.operator_topic, now);
-    answer.upstreams = standing_of(*state.upstream_topic, now);
+    answer.operators = to_topic_status(*state.operator_topic, now);
+    answer.upstreams = to_topic_status(*state.upstream_topic, now);
     for (auto const& [where, known] : peer_query.stores)
     {
         auto const watched = state.watched_stores.find(where);
@@ -119,7 +121,7 @@
                 watched->second.is_reachable,
                 status::delta_since(watched->second.cache, known)};
     }
-    state.datagrams->send(from, status::to_datagram(answer));
+    state.datagrams->send(sender, status::to_datagram(answer));
 }
 
 void apply_fetched_records(gateway_state& state, follow::follower& topic,
@@ -165,14 +167,14 @@
 void query_peers(gateway_state& state)
 {
     auto const now = mono_now();
-    bool const reads = is_reader(state);
-    state.operator_topic->set_active(reads ||
+    bool const is_reading = is_reader(state);
+    state.operator_topic->set_active(is_reading ||
                                      is_lagging(*state.operator_topic, now));
-    state.upstream_topic->set_active(reads ||
+    state.upstream_topic->set_active(is_reading ||
                                      is_lagging(*state.upstream_topic, now));
-    status::peer_request question;
-    question.sent_at_us = to_us(now);
-    if (reads)
+    status::peer_request query;
+    query.sent_at_us = to_us(now);
+    if (is_reading)
         poll_part_stores(state, now);
     else
         update_followed_reader(state.part_store_reader, readers_of(state), now);
@@ -181,34 +183,34 @@
         if (host == state.settings.ip ||
             !begin_query(state.status_queries, host, now))
             continue;
-        question.stores = reads || host != state.part_store_reader.host
-                              ? std::map<std::string, status::cache_position>{}
-                              : known_stores(state);
+        query.stores = is_reading || host != state.part_store_reader.host
+                           ? std::map<std::string, status::cache_position>{}
+                           : known_stores(state);
         state.datagrams->send(address{host, state.settings.internal_port},
-                              status::to_datagram(question));
+                              status::to_datagram(query));
     }
 }
 
-void on_peer_datagram(gateway_state& state, address const& from,
+void on_peer_datagram(gateway_state& state, address const& sender,
                       std::string_view bytes)
 {
     if (auto const peer_query =
             status::from_datagram<status::peer_request>(bytes))
     {
-        on_peer_query(state, from, *peer_query);
+        on_peer_query(state, sender, *peer_query);
         return;
     }
     auto const answer = status::from_datagram<status::peer_response>(bytes);
     if (!answer)
         return;
-    on_query_answered(state.status_queries, from.host);
-    apply_standing(state, from.host, *state.operator_topic,
-                   operator_records_path, answer->operators,
-                   answer->request_sent_at_us);
-    apply_standing(state, from.host, *state.upstream_topic,
-                   upstream_records_path, answer->upstreams,
-                   answer->request_sent_at_us);
-    apply_reported_stores(state, from.host, *answer);
+    on_query_answered(state.status_queries, sender.host);
+    apply_topic_status(state, sender.host, *state.operator_topic,
+                       operator_records_path, answer->operators,
+                       answer->request_sent_at_us);
+    apply_topic_status(state, sender.host, *state.upstream_topic,
+                       upstream_records_path, answer->upstreams,
+                       answer->request_sent_at_us);
+    apply_reported_stores(state, sender.host, *answer);
 }
 
 void on_records_request(gateway_state& state, http1::exchange_id exchange,
--- a/jujubestand/gateway/peers.hpp
+++ b/jujubestand/gateway/peers.hpp
@@ -21,7 +21,7 @@
 void query_peers(gateway_state& state);
 
 /// \brief Handles a datagram from another gateway.
-void on_peer_datagram(gateway_state& state, address const& from,
+void on_peer_datagram(gateway_state& state, address const& sender,
                       std::string_view bytes);
 
 /// \brief Serves a record request of another gateway.
--- a/jujubestand/gateway/questions.cpp
+++ b/jujubestand/gateway/query_pacing.cpp
@@ -1,4 +1,4 @@
-#include <jujubestand/gateway/questions.hpp>
+#include <jujubestand/gateway/query_pacing.hpp>
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 constexpr std::chrono::milliseconds answer_wait{400};
 
 /// Time without an answer after which another reader is followed.
-constexpr std::chrono::milliseconds reader_silence{1'000};
+constexpr std::chrono::milliseconds reader_timeout{1'000};
 
 } // namespace
 
@@ -42,8 +42,8 @@
     auto const current =
         std::find(readers.begin(), readers.end(), followed.host);
     bool const is_reader = current != readers.end();
-    bool const is_silent = now - followed.last_answer_at > reader_silence;
-    if (readers.empty() || (is_reader && !is_silent))
+    bool const is_timed_out = now - followed.last_answer_at > reader_timeout;
+    if (readers.empty() || (is_reader && !is_timed_out))
         return;
     bool const has_next = is_reader && current + 1 != readers.end();
     followed.host = has_next ? *(current + 1) : readers.front();
--- a/jujubestand/gateway/repeats.cpp
+++ b/jujubestand/gateway/retries.cpp
@@ -1,4 +1,4 @@
-#include <jujubestand/gateway/repeats.hpp>
+#include <jujubestand/gateway/retries.hpp>
 
 #include <algorithm>
 #include <jujubestand/gateway/sends.hpp>
--- a/jujubestand/gateway/sends.cpp
+++ b/jujubestand/gateway/sends.cpp
@@ -4,7 +4,7 @@
 #include <jujubestand/dispatch/parts.hpp>
 #include <jujubestand/dispatch/upstreams.hpp>
 #include <jujubestand/gateway/calls.hpp>
-#include <jujubestand/gateway/repeats.hpp>
+#include <jujubestand/gateway/retries.hpp>
 #include <platform/calls.hpp>
 
 namespace jujubestand::gateway
@@ -33,7 +33,7 @@
 
 // Statuses that guarantee that the call did not run. An upstream response
 // with such a status that does not guarantee this must not be forwarded.
-bool promises_not_run(int status)
+bool guarantees_not_run(int status)
 {
     constexpr int timeout = 408;
     constexpr int misdirected = 421;
@@ -189,7 +189,7 @@
 bool is_final(active_call const& call, dispatch::send_outcome outcome)
 {
     return outcome == dispatch::send_outcome::served &&
-           !promises_not_run(call.response_head.status);
+           !guarantees_not_run(call.response_head.status);
 }
 
 void on_send_end(gateway_state& state, dispatch::call_key key,
@@ -230,7 +230,7 @@
     }
     if (outcome == dispatch::send_outcome::failed &&
         !call->is_response_started &&
-        !promises_not_run(call->response_head.status))
+        !guarantees_not_run(call->response_head.status))
     {
         finish_call(state, key);
         return;
--- a/jujubestand/gateway/state.hpp
+++ b/jujubestand/gateway/state.hpp
@@ -7,7 +7,7 @@
 #include <jujubestand/follow/follower.hpp>
 #include <jujubestand/follow/lapses.hpp>
 #include <jujubestand/gateway/event_stream.hpp>
-#include <jujubestand/gateway/questions.hpp>
+#include <jujubestand/gateway/query_pacing.hpp>
 #include <jujubestand/http1/client.hpp>
 #include <jujubestand/http1/server.hpp>
 #include <jujubestand/logs/log.hpp>
--- a/jujubestand/gateway/test/event_stream_test.cpp
+++ b/jujubestand/gateway/test/event_stream_test.cpp
@@ -4,7 +4,7 @@
 namespace jujubestand::gateway
 {
 
-TEST(event_stream, only_whole_events_are_passed_on)
+TEST(event_stream, only_complete_events_are_forwarded)
 {
     event_stream state;
     EXPECT_EQ(on_bytes(state, "id: 1\ndata: a\n\nid: 2\nda"),
@@ -14,7 +14,7 @@
     EXPECT_EQ(state.last_id, 2U);
 }
 
-TEST(event_stream, a_continued_stream_repeats_nothing)
+TEST(event_stream, a_resumed_stream_repeats_no_event)
 {
     event_stream state;
     EXPECT_EQ(on_bytes(state, "id: 1\ndata: a\n\nid: 2\ndata: cut he"),
@@ -24,7 +24,7 @@
               "id: 2\ndata: b\n\n");
 }
 
-TEST(event_stream, both_line_ends_are_read)
+TEST(event_stream, both_line_endings_are_accepted)
 {
     event_stream state;
     EXPECT_EQ(on_bytes(state, "id:7\r\ndata: a\r\n\r\n"),
@@ -32,7 +32,7 @@
     EXPECT_EQ(state.last_id, 7U);
 }
 
-TEST(event_stream, an_event_without_an_end_is_no_stream)
+TEST(event_stream, an_endless_event_breaks_the_stream)
 {
     event_stream state;
     std::string const endless(2U << 20U, 'x');
--- a/jujubestand/gateway/test/operations_test.cpp
+++ b/jujubestand/gateway/test/operations_test.cpp
@@ -72,7 +72,7 @@
     EXPECT_GE(lines, 8);
 }
 
-TEST(operations, every_number_in_the_book_is_an_event)
+TEST(operations, every_number_in_the_manual_is_an_event)
 {
     std::string const page = book();
     std::regex const number(R"(E(\d{4}))");
--- a/jujubestand/gateway/test/questions_test.cpp
+++ b/jujubestand/gateway/test/query_pacing_test.cpp
@@ -1,5 +1,5 @@
 #include <gtest/gtest.h>
-#include <jujubestand/gateway/questions.hpp>
+#include <jujubestand/gateway/query_pacing.hpp>
 
 namespace jujubestand::gateway
 {
@@ -17,7 +17,7 @@
 // Guards against repeated queries on a saturated link: while answers were still
 // queued, a gateway sent ten queries a second and received each answer ten
 // times.
-TEST(questions, an_open_question_is_not_repeated_at_each_tick)
+TEST(questions, an_outstanding_query_is_not_repeated_at_each_tick)
 {
     query_map queries;
     int query_count = 0;
@@ -29,7 +29,7 @@
     EXPECT_EQ(query_count, 5);
 }
 
-TEST(questions, an_answered_question_is_followed_by_the_next)
+TEST(questions, an_answered_query_allows_the_next)
 {
     query_map queries;
     for (int ms = 0; ms < 1'000; ms += 100)
@@ -40,7 +40,7 @@
     }
 }
 
-TEST(questions, an_answer_nobody_asked_for_counts_for_nothing)
+TEST(questions, an_unsolicited_answer_is_ignored)
 {
     query_map queries;
     on_query_answered(queries, "10.0.0.1");
@@ -61,7 +61,7 @@
     }
 }
 
-TEST(questions, a_silent_reader_is_left_for_the_next_and_back)
+TEST(questions, a_reader_that_times_out_is_replaced_by_the_next)
 {
     std::vector<std::string> const readers = {"10.0.0.1", "10.0.0.2"};
     followed_reader followed;
@@ -72,7 +72,7 @@
     EXPECT_EQ(followed.host, "10.0.0.1");
 }
 
-TEST(questions, a_gateway_that_reads_no_more_is_left_at_once)
+TEST(questions, a_gateway_that_stops_reading_is_replaced_immediately)
 {
     followed_reader followed;
     update_followed_reader(followed, {"10.0.0.1"}, at(0));
--- a/jujubestand/gateway/test/repeats_test.cpp
+++ b/jujubestand/gateway/test/retries_test.cpp
@@ -1,5 +1,5 @@
 #include <gtest/gtest.h>
-#include <jujubestand/gateway/repeats.hpp>
+#include <jujubestand/gateway/retries.hpp>
 #include <jujubestand/gateway/sends.hpp>
 #include <jujubestand/http1/test/sockets.hpp>
 #include <jujubestand/logs/log.hpp>
@@ -18,7 +18,7 @@
 constexpr double no_reserve = 2;
 
 /// Limits the gateway to `no_reserve` retries in total.
-void limit_repeats(gateway_state& state)
+void limit_retries(gateway_state& state)
 {
     state.settings.limits.retry_ratio = 0;
     state.settings.limits.retry_reserve = 0;
@@ -37,18 +37,19 @@
     return call;
 }
 
-reason_code ask(gateway_state& state, active_call const& call,
-                dispatch::send_outcome outcome)
+reason_code try_acquire_retry(gateway_state& state, active_call const& call,
+                              dispatch::send_outcome outcome)
 {
     return acquire_retry(state, call, outcome, at(0));
 }
 
 void spend_budget(gateway_state& state, active_call const& call)
 {
-    for (int sent = 0; sent < static_cast<int>(no_reserve); ++sent)
-        EXPECT_EQ(ask(state, call, dispatch::send_outcome::refused),
-                  reason_code::none);
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::refused),
+    for (int attempt = 0; attempt < static_cast<int>(no_reserve); ++attempt)
+        EXPECT_EQ(
+            try_acquire_retry(state, call, dispatch::send_outcome::refused),
+            reason_code::none);
+    EXPECT_EQ(try_acquire_retry(state, call, dispatch::send_outcome::refused),
               reason_code::retry_budget_spent);
 }
 
@@ -64,7 +65,7 @@
             std::make_unique<http1::client>(this->base.get());
         this->state.caller_server = std::make_unique<http1::server>(
             this->base.get(), http1::server_events{});
-        limit_repeats(this->state);
+        limit_retries(this->state);
         auto call = stream_call();
         call.is_response_started = true;
         call.dispatch_call.key = key;
@@ -84,7 +85,7 @@
 
 } // namespace
 
-TEST_F(suspended_answer, waits_while_the_budget_is_spent)
+TEST_F(suspended_answer, waits_while_the_budget_is_exhausted)
 {
     review_suspended_calls(this->state);
     EXPECT_TRUE(this->state.active_calls.contains(key));
@@ -92,7 +93,7 @@
     EXPECT_TRUE(this->state.dispatch.waiting.empty());
 }
 
-TEST_F(suspended_answer, goes_on_as_soon_as_the_budget_allows)
+TEST_F(suspended_answer, resumes_as_soon_as_the_budget_allows)
 {
     this->state.retry_budgets["engines"].tokens = 1;
     review_suspended_calls(this->state);
@@ -101,7 +102,7 @@
     EXPECT_TRUE(this->state.dispatch.waiting.contains(key));
 }
 
-TEST_F(suspended_answer, ends_when_its_time_is_over)
+TEST_F(suspended_answer, fails_at_its_deadline)
 {
     this->state.active_calls.at(key).deadline = mono_now();
     review_suspended_calls(this->state);
@@ -109,7 +110,7 @@
     EXPECT_TRUE(this->state.suspended_calls.empty());
 }
 
-TEST_F(suspended_answer, is_forgotten_when_its_caller_leaves)
+TEST_F(suspended_answer, is_removed_when_its_caller_disconnects)
 {
     end_call(this->state, key);
     review_suspended_calls(this->state);
@@ -118,7 +119,7 @@
 }
 
 // The server does not have the caller's connection, as after a disconnect.
-TEST_F(suspended_answer, is_not_sent_on_once_its_caller_has_left)
+TEST_F(suspended_answer, is_not_retried_after_its_caller_has_disconnected)
 {
     this->state.call_by_exchange[this->state.active_calls.at(key).exchange] =
         key;
@@ -132,51 +133,55 @@
 
 // Guards against rejecting callers because failed connects used up the retry
 // budget, which only limits attempts that reach an upstream.
-TEST(repeats, a_send_that_never_connected_costs_no_budget)
+TEST(repeats, an_attempt_that_never_connected_costs_no_budget)
 {
     gateway_state state;
-    limit_repeats(state);
+    limit_retries(state);
     auto call = stream_call();
     spend_budget(state, call);
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::unreachable),
-              reason_code::none);
+    EXPECT_EQ(
+        try_acquire_retry(state, call, dispatch::send_outcome::unreachable),
+        reason_code::none);
     constexpr std::uint32_t many = 6;
     call.upstream_attempts = many;
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::unreachable),
-              reason_code::attempts_spent);
+    EXPECT_EQ(
+        try_acquire_retry(state, call, dispatch::send_outcome::unreachable),
+        reason_code::attempts_spent);
 }
 
-TEST(repeats, an_answer_that_has_begun_has_a_budget_of_its_own)
+TEST(repeats, a_started_response_has_a_separate_budget)
 {
     gateway_state state;
-    limit_repeats(state);
+    limit_retries(state);
     auto call = stream_call();
     spend_budget(state, call);
     call.is_response_started = true;
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::cut), reason_code::none);
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::cut),
+    EXPECT_EQ(try_acquire_retry(state, call, dispatch::send_outcome::cut),
+              reason_code::none);
+    EXPECT_EQ(try_acquire_retry(state, call, dispatch::send_outcome::cut),
               reason_code::retry_budget_spent);
 }
 
-TEST(repeats, a_call_that_may_have_run_is_not_repeated)
+TEST(repeats, a_call_that_may_have_run_is_not_retried)
 {
     gateway_state state;
     auto call = stream_call();
     call.route.kind = traffic::call_kind::non_idempotent;
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::cut),
+    EXPECT_EQ(try_acquire_retry(state, call, dispatch::send_outcome::cut),
               reason_code::upstream_read_cut);
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::refused),
+    EXPECT_EQ(try_acquire_retry(state, call, dispatch::send_outcome::refused),
               reason_code::none);
 }
 
-TEST(repeats, the_limit_of_the_route_counts_upstreams_that_may_have_run)
+TEST(repeats, the_attempt_limit_counts_upstreams_that_may_have_run)
 {
     gateway_state state;
     auto call = stream_call();
     count_possible_run(call);
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::cut), reason_code::none);
+    EXPECT_EQ(try_acquire_retry(state, call, dispatch::send_outcome::cut),
+              reason_code::none);
     count_possible_run(call);
-    EXPECT_EQ(ask(state, call, dispatch::send_outcome::cut),
+    EXPECT_EQ(try_acquire_retry(state, call, dispatch::send_outcome::cut),
               reason_code::attempts_spent);
 }
 
--- a/jujubestand/retries/test/circuit_test.cpp
+++ b/jujubestand/retries/test/circuit_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_FALSE(try_admit(state, options, start));
 }
 
-TEST(circuit, lets_one_trial_pass_after_the_pause)
+TEST(circuit, admits_one_trial_request_after_the_pause)
 {
     circuit state = opened();
     mono_time const later = start + options.open_base;
@@ -45,7 +45,7 @@
     EXPECT_TRUE(try_admit(state, options, later));
 }
 
-TEST(circuit, failed_trial_doubles_the_pause)
+TEST(circuit, failed_trial_request_doubles_the_pause)
 {
     circuit state = opened();
     mono_time const later = start + options.open_base;
@@ -55,7 +55,7 @@
     EXPECT_EQ(state.mode, circuit_mode::open);
 }
 
-TEST(circuit, lost_trial_does_not_block_for_ever)
+TEST(circuit, lost_trial_request_does_not_block_forever)
 {
     circuit state = opened();
     mono_time const later = start + options.open_base;
