--- a/jujubestand/retries/circuit.cpp
+++ b/jujubestand/retries/circuit.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t doublings_limit = 16;
 
-/// Half of the pause is random, so that gateways do not send their trial
+/// Half of the pause is random, so that entries do not send their trial
 /// requests at the same time.
 microseconds pause(circuit_options const& options, std::uint32_t openings,
                    std::uint64_t random_bits) noexcept
